--- a/Source/Core/Process/acknowledgement_task.cc
+++ b/Source/Core/Process/acknowledgement_task.cc
@@ -11,7 +11,7 @@
 }  // namespace
 
 AcknowledgementTask::AcknowledgementTask(
-    connection::EventLoop* loop, const Execution& execution,
+    connection::EventLoop* loop, const ExecutedStatement& execution,
     const std::vector<common::EndpointId>& replicas,
     common::SteadyTime deadline, ConfirmRouter router, Callback done)
     : loop(loop),
@@ -40,7 +40,7 @@
           },
           [this](const ReportUnknown& /*decision*/) { this->Finish(false); },
           [](const AwaitReply& /*decision*/) {},
-          [this](const AskReplica& ask) {
+          [this](const RequestConfirmation& ask) {
             this->router(
                 ask.endpoint, ask.position, ask.wait,
                 [self = this->shared_from_this(),
--- a/Source/Core/Process/acknowledgement_task.h
+++ b/Source/Core/Process/acknowledgement_task.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <vector>
 
-#include "Process/acknowledgement_rule.h"
-#include "Process/confirm_batch.h"
+#include "Process/acknowledgement_tracker.h"
+#include "Process/confirm_batcher.h"
 
 namespace camphorferry::process {
 
@@ -14,7 +14,7 @@
 /// entry; the owner may be this daemon or another.
 using ConfirmRouter = std::function<void(
     const common::EndpointId& endpoint, common::LogPosition position,
-    common::Duration wait, ConfirmBatch::Callback done)>;
+    common::Duration wait, ConfirmBatcher::Callback done)>;
 
 /// Carries out the acknowledgement rule for one executed statement.
 class AcknowledgementTask
@@ -23,7 +23,8 @@
   /// Receives true if the statement may be acknowledged.
   using Callback = std::function<void(bool acknowledged)>;
 
-  AcknowledgementTask(connection::EventLoop* loop, const Execution& execution,
+  AcknowledgementTask(connection::EventLoop* loop,
+                      const ExecutedStatement& execution,
                       const std::vector<common::EndpointId>& replicas,
                       common::SteadyTime deadline, ConfirmRouter router,
                       Callback done);
@@ -37,7 +38,7 @@
   void Finish(bool acknowledged);
 
   connection::EventLoop* loop;
-  AcknowledgementRule rule;
+  AcknowledgementTracker rule;
   ConfirmRouter router;
   Callback done;
   std::unique_ptr<connection::Timer> tick;
--- a/Source/Core/Process/acknowledgement_rule.cc
+++ b/Source/Core/Process/acknowledgement_tracker.cc
@@ -1,4 +1,4 @@
-#include "Process/acknowledgement_rule.h"
+#include "Process/acknowledgement_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,8 +20,9 @@
 
 }  // namespace
 
-AcknowledgementRule::AcknowledgementRule(
-    Execution execution, const std::vector<common::EndpointId>& replicas,
+AcknowledgementTracker::AcknowledgementTracker(
+    ExecutedStatement execution,
+    const std::vector<common::EndpointId>& replicas,
     common::SteadyTime deadline, AcknowledgementPolicy policy)
     : execution(std::move(execution)), deadline(deadline), policy(policy) {
   for (const common::EndpointId& id : replicas) {
@@ -33,7 +34,7 @@
   }
 }
 
-AcknowledgementDecision AcknowledgementRule::Start(common::SteadyTime now) {
+AcknowledgementDecision AcknowledgementTracker::Start(common::SteadyTime now) {
   if (!this->policy.require_replica) this->confirmed = true;
   // A copy of an entry of an older term may still be replaced by a later
   // primary; only an entry of the primary's own term settles those before it.
@@ -43,14 +44,14 @@
   return this->Decide(now);
 }
 
-AcknowledgementDecision AcknowledgementRule::Handle(
+AcknowledgementDecision AcknowledgementTracker::Handle(
     const AcknowledgementEvent& event, common::SteadyTime now) {
   std::visit([this, now](const auto& typed) { this->On(typed, now); }, event);
   return this->Decide(now);
 }
 
-void AcknowledgementRule::On(const ConfirmReply& event,
-                             common::SteadyTime now) {
+void AcknowledgementTracker::On(const ConfirmReply& event,
+                                common::SteadyTime now) {
   Replica* replica = this->Find(event.endpoint);
   if (replica == nullptr || this->given_up || this->confirmed) return;
   replica->asked = false;
@@ -65,17 +66,18 @@
   this->confirmed = event.held && now < this->deadline;
 }
 
-void AcknowledgementRule::On(const ConfirmFailed& event,
-                             common::SteadyTime now) {
+void AcknowledgementTracker::On(const ConfirmFailed& event,
+                                common::SteadyTime now) {
   Replica* replica = this->Find(event.endpoint);
   if (replica == nullptr) return;
   replica->asked = false;
   replica->not_before = now + kRepeatDelay;
 }
 
-void AcknowledgementRule::On(const AcknowledgementTick&, common::SteadyTime) {}
+void AcknowledgementTracker::On(const AcknowledgementTick&,
+                                common::SteadyTime) {}
 
-AcknowledgementDecision AcknowledgementRule::Decide(common::SteadyTime now) {
+AcknowledgementDecision AcknowledgementTracker::Decide(common::SteadyTime now) {
   if (this->given_up) return this->Unknown();
   if (this->confirmed) return Acknowledge{};
   const bool all_fenced_above =
@@ -91,18 +93,18 @@
   replica->asked = true;
   this->asked_at = now;
   const common::Duration left = this->deadline - now;
-  return AskReplica{replica->id, this->execution.position,
-                    std::min(kConfirmWait, left)};
+  return RequestConfirmation{replica->id, this->execution.position,
+                             std::min(kConfirmWait, left)};
 }
 
-AcknowledgementDecision AcknowledgementRule::Unknown() {
+AcknowledgementDecision AcknowledgementTracker::Unknown() {
   this->given_up = true;
   return ReportUnknown{this->superseded_by};
 }
 
 /// The first replica in order that wasn't asked lately, so that the other one
 /// gets its turn after an answer that didn't help.
-AcknowledgementRule::Replica* AcknowledgementRule::NextReplica(
+AcknowledgementTracker::Replica* AcknowledgementTracker::NextReplica(
     common::SteadyTime now) {
   for (Replica& replica : this->replicas) {
     if (replica.asked || replica.fenced_above) continue;
@@ -111,7 +113,7 @@
   return nullptr;
 }
 
-AcknowledgementRule::Replica* AcknowledgementRule::Find(
+AcknowledgementTracker::Replica* AcknowledgementTracker::Find(
     const common::EndpointId& endpoint) {
   const auto found = std::find_if(
       this->replicas.begin(), this->replicas.end(),
--- a/Source/Core/Process/acknowledgement_rule.h
+++ b/Source/Core/Process/acknowledgement_tracker.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_ACKNOWLEDGEMENT_RULE_H_
-#define CAMPHORFERRY_PROCESS_ACKNOWLEDGEMENT_RULE_H_
+#ifndef CAMPHORFERRY_PROCESS_ACKNOWLEDGEMENT_TRACKER_H_
+#define CAMPHORFERRY_PROCESS_ACKNOWLEDGEMENT_TRACKER_H_
 
 #include <optional>
 #include <variant>
@@ -10,7 +10,7 @@
 namespace camphorferry::process {
 
 /// What a primary reported about a write or a read that it executed.
-struct Execution {
+struct ExecutedStatement {
   common::EndpointId endpoint;
   common::Term term = 0;
   /// Position of the written entry, or the primary's last position for a read
@@ -41,7 +41,7 @@
 struct Acknowledge {};
 
 /// Ask a replica whether it holds the position.
-struct AskReplica {
+struct RequestConfirmation {
   common::EndpointId endpoint;
   common::LogPosition position;
   /// The replica waits this long for the entry before it answers.
@@ -59,7 +59,7 @@
 };
 
 using AcknowledgementDecision =
-    std::variant<Acknowledge, AskReplica, AwaitReply, ReportUnknown>;
+    std::variant<Acknowledge, RequestConfirmation, AwaitReply, ReportUnknown>;
 
 /// Rules that only tests change, to show that they notice the consequences.
 struct AcknowledgementPolicy {
@@ -70,13 +70,13 @@
 /// Decides whether one executed write or primary read may be acknowledged. It
 /// may once a replica holds the position and is not fenced above the term: any
 /// fenced majority then includes a database that holds the entry.
-class AcknowledgementRule {
+class AcknowledgementTracker {
  public:
   /// The replicas are asked in the given order.
-  AcknowledgementRule(Execution execution,
-                      const std::vector<common::EndpointId>& replicas,
-                      common::SteadyTime deadline,
-                      AcknowledgementPolicy policy = {});
+  AcknowledgementTracker(ExecutedStatement execution,
+                         const std::vector<common::EndpointId>& replicas,
+                         common::SteadyTime deadline,
+                         AcknowledgementPolicy policy = {});
 
   /// The first decision, to be taken right after the execution.
   AcknowledgementDecision Start(common::SteadyTime now);
@@ -108,7 +108,7 @@
   Replica* NextReplica(common::SteadyTime now);
   Replica* Find(const common::EndpointId& endpoint);
 
-  Execution execution;
+  ExecutedStatement execution;
   std::vector<Replica> replicas;
   common::SteadyTime deadline;
   AcknowledgementPolicy policy;
@@ -120,4 +120,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_ACKNOWLEDGEMENT_RULE_H_
+#endif  // CAMPHORFERRY_PROCESS_ACKNOWLEDGEMENT_TRACKER_H_
--- a/Source/Core/Process/client_task.cc
+++ b/Source/Core/Process/client_http_server.cc
@@ -1,4 +1,4 @@
-#include "Process/client_task.h"
+#include "Process/client_http_server.h"
 
 #include <utility>
 
@@ -31,9 +31,10 @@
 
 }  // namespace
 
-ClientTask::ClientTask(connection::EventLoop* loop,
-                       const connection::SocketAddress& address,
-                       RequestContext* context, std::function<bool()> ready)
+ClientHttpServer::ClientHttpServer(connection::EventLoop* loop,
+                                   const connection::SocketAddress& address,
+                                   RequestContext* context,
+                                   std::function<bool()> ready)
     : context(context),
       ready(std::move(ready)),
       server(
@@ -42,8 +43,8 @@
             this->OnRequest(request, std::move(responder));
           }) {}
 
-void ClientTask::OnRequest(const connection::HttpRequest& request,
-                           Responder responder) {
+void ClientHttpServer::OnRequest(const connection::HttpRequest& request,
+                                 Responder responder) {
   constexpr int kNotFound = 404;
   constexpr int kUnavailable = 503;
   if (request.path == "/v1/statement" && request.method == "POST") {
@@ -63,8 +64,8 @@
   responder->Send(TextResponse(kNotFound, "unknown path\n"));
 }
 
-void ClientTask::OnStatement(const connection::HttpRequest& request,
-                             Responder responder) {
+void ClientHttpServer::OnStatement(const connection::HttpRequest& request,
+                                   Responder responder) {
   const std::string generated = std::to_string(this->context->random());
   const std::string request_id =
       request::RequestIdOrGenerated(request.headers, generated);
@@ -90,9 +91,9 @@
   }
 }
 
-void ClientTask::Answer(const Responder& responder,
-                        const std::string& request_id,
-                        const RequestAnswer& answer) {
+void ClientHttpServer::Answer(const Responder& responder,
+                              const std::string& request_id,
+                              const RequestAnswer& answer) {
   connection::HttpResponse response;
   response.status = request::HttpStatus(answer.outcome);
   response.headers["Content-Type"] = "application/json";
--- a/Source/Core/Process/client_task.h
+++ b/Source/Core/Process/client_http_server.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_CLIENT_TASK_H_
-#define CAMPHORFERRY_PROCESS_CLIENT_TASK_H_
+#ifndef CAMPHORFERRY_PROCESS_CLIENT_HTTP_SERVER_H_
+#define CAMPHORFERRY_PROCESS_CLIENT_HTTP_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -10,12 +10,12 @@
 namespace camphorferry::process {
 
 /// Serves the clients' listener: statements, liveness and readiness.
-class ClientTask {
+class ClientHttpServer {
  public:
   /// The function says whether the daemon is ready for clients.
-  ClientTask(connection::EventLoop* loop,
-             const connection::SocketAddress& address, RequestContext* context,
-             std::function<bool()> ready);
+  ClientHttpServer(connection::EventLoop* loop,
+                   const connection::SocketAddress& address,
+                   RequestContext* context, std::function<bool()> ready);
 
   std::uint16_t Port() const { return this->server.Port(); }
 
@@ -42,4 +42,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_CLIENT_TASK_H_
+#endif  // CAMPHORFERRY_PROCESS_CLIENT_HTTP_SERVER_H_
--- a/Source/Core/Process/configuration_task.cc
+++ b/Source/Core/Process/configuration_task.cc
@@ -15,7 +15,7 @@
 
 ConfigurationTask::ConfigurationTask(connection::EventLoop* loop,
                                      connection::ObjectStore* store,
-                                     PeerLink* peers, EventLog* events,
+                                     PeerClient* peers, EventLog* events,
                                      Listener on_change)
     : loop(loop),
       store(store),
--- a/Source/Core/Process/configuration_task.h
+++ b/Source/Core/Process/configuration_task.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "Process/event_log.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "Version/version.h"
 
 namespace camphorferry::process {
@@ -21,7 +21,7 @@
   using Listener = std::function<void(const version::ConfigurationPointer&)>;
 
   ConfigurationTask(connection::EventLoop* loop, connection::ObjectStore* store,
-                    PeerLink* peers, EventLog* events, Listener on_change);
+                    PeerClient* peers, EventLog* events, Listener on_change);
 
   /// Reads the store, and asks peers if it does not answer.
   void Start();
@@ -66,7 +66,7 @@
 
   connection::EventLoop* loop;
   connection::ObjectStore* store;
-  PeerLink* peers;
+  PeerClient* peers;
   EventLog* events;
   Listener on_change;
   version::ConfigurationTracker tracker;
--- a/Source/Core/Process/confirm_batch.cc
+++ b/Source/Core/Process/confirm_batcher.cc
@@ -1,4 +1,4 @@
-#include "Process/confirm_batch.h"
+#include "Process/confirm_batcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -32,17 +32,17 @@
 
 }  // namespace
 
-ConfirmBatch::ConfirmBatch(connection::EventLoop* loop,
-                           connection::SocketAddress address)
+ConfirmBatcher::ConfirmBatcher(connection::EventLoop* loop,
+                               connection::SocketAddress address)
     : loop(loop), address(std::move(address)) {}
 
-void ConfirmBatch::Add(common::LogPosition position,
-                       common::SteadyTime deadline, Callback done) {
+void ConfirmBatcher::Add(common::LogPosition position,
+                         common::SteadyTime deadline, Callback done) {
   this->waiters.push_back({position, deadline, std::move(done)});
   this->Ask();
 }
 
-void ConfirmBatch::Ask() {
+void ConfirmBatcher::Ask() {
   if (this->asking || this->waiters.empty()) return;
   this->asking = true;
   if (this->link == nullptr || !this->link->Usable()) {
@@ -59,7 +59,7 @@
       [this](const connection::ConfirmReply& reply) { this->OnReply(reply); });
 }
 
-void ConfirmBatch::OnReply(const connection::ConfirmReply& reply) {
+void ConfirmBatcher::OnReply(const connection::ConfirmReply& reply) {
   this->asking = false;
   const common::SteadyTime now = common::SteadyNow();
   std::vector<Waiter> waiting = std::exchange(this->waiters, {});
--- a/Source/Core/Process/confirm_batch.h
+++ b/Source/Core/Process/confirm_batcher.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_CONFIRM_BATCH_H_
-#define CAMPHORFERRY_PROCESS_CONFIRM_BATCH_H_
+#ifndef CAMPHORFERRY_PROCESS_CONFIRM_BATCHER_H_
+#define CAMPHORFERRY_PROCESS_CONFIRM_BATCHER_H_
 
 #include <functional>
 #include <memory>
@@ -13,11 +13,12 @@
 /// it, over a single connection with one call at a time. An answer for a later
 /// entry of the same term settles all earlier ones, so the number of calls does
 /// not grow with the number of writes.
-class ConfirmBatch {
+class ConfirmBatcher {
  public:
   using Callback = std::function<void(connection::ConfirmReply)>;
 
-  ConfirmBatch(connection::EventLoop* loop, connection::SocketAddress address);
+  ConfirmBatcher(connection::EventLoop* loop,
+                 connection::SocketAddress address);
 
   /// Calls back once the replica holds the entry, has left its term, or the
   /// wait is over.
@@ -43,4 +44,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_CONFIRM_BATCH_H_
+#endif  // CAMPHORFERRY_PROCESS_CONFIRM_BATCHER_H_
--- a/Source/Core/Process/daemon.cc
+++ b/Source/Core/Process/daemon.cc
@@ -38,7 +38,7 @@
             settings.host.Value() + "." + std::to_string(this->incarnation),
             [this](const common::EndpointId& endpoint,
                    common::LogPosition position, common::Duration wait,
-                   ConfirmBatch::Callback done) {
+                   ConfirmBatcher::Callback done) {
               this->router.Confirm(endpoint, position, wait, std::move(done));
             }),
       rates(&this->loop, &this->store, &this->peers, &this->events,
@@ -68,13 +68,13 @@
   this->requests.home_domain = settings.domain;
   this->peer_server = std::make_unique<GrpcPeerServer>(
       &this->loop, settings.peers, &this->events, this);
-  this->operators = std::make_unique<OperatorTask>(
+  this->operators = std::make_unique<OperatorHttpServer>(
       &this->loop, settings.operators, &this->store, &this->configuration,
       &this->counters, &this->events,
-      OperatorHooks{[this] { return this->Status(); },
-                    [this] { this->StartDrain(); },
-                    [this] { this->RefreshCounters(); }});
-  this->clients = std::make_unique<ClientTask>(
+      OperatorCallbacks{[this] { return this->Status(); },
+                        [this] { this->StartDrain(); },
+                        [this] { this->RefreshCounters(); }});
+  this->clients = std::make_unique<ClientHttpServer>(
       &this->loop, settings.clients, &this->requests,
       [this] { return this->Ready(); });
 }
--- a/Source/Core/Process/daemon.h
+++ b/Source/Core/Process/daemon.h
@@ -4,14 +4,14 @@
 #include <memory>
 #include <set>
 
-#include "Process/client_task.h"
+#include "Process/client_http_server.h"
 #include "Process/configuration_task.h"
 #include "Process/endpoint_owner.h"
-#include "Process/grpc_peer_link.h"
+#include "Process/grpc_peer_client.h"
 #include "Process/grpc_peer_server.h"
 #include "Process/membership_task.h"
-#include "Process/operator_task.h"
-#include "Process/rate_task.h"
+#include "Process/operator_http_server.h"
+#include "Process/rate_limit_task.h"
 #include "Process/request_context.h"
 #include "Process/settings.h"
 #include "Process/statement_router.h"
@@ -62,18 +62,18 @@
   EventLog events;
   Counters counters;
   connection::HttpObjectStore store;
-  GrpcPeerLink peers;
+  GrpcPeerClient peers;
   Membership membership;
   PrimaryDirectory primaries;
   StatementRouter router;
   EndpointOwner owner;
-  RateTask rates;
+  RateLimitTask rates;
   ConfigurationTask configuration;
   MembershipTask membership_task;
   RequestContext requests;
   std::unique_ptr<GrpcPeerServer> peer_server;
-  std::unique_ptr<ClientTask> clients;
-  std::unique_ptr<OperatorTask> operators;
+  std::unique_ptr<ClientHttpServer> clients;
+  std::unique_ptr<OperatorHttpServer> operators;
   bool announced_live = false;
   /// Live daemons at the last update of ownership.
   std::set<common::HostId> live_hosts;
--- a/Source/Core/Process/endpoint_owner.cc
+++ b/Source/Core/Process/endpoint_owner.cc
@@ -83,9 +83,9 @@
 }
 
 void EndpointOwner::Execute(connection::StatementCall call,
-                            EndpointTask::Callback done) {
+                            EndpointPool::Callback done) {
   ++this->unfinished;
-  EndpointTask::Callback counted =
+  EndpointPool::Callback counted =
       [this, service = call.service,
        done = std::move(done)](connection::StatementReply reply) {
         --this->unfinished;
@@ -106,7 +106,7 @@
 
 void EndpointOwner::ExecuteWrite(connection::StatementCall call,
                                  common::SteadyTime until,
-                                 EndpointTask::Callback done) {
+                                 EndpointPool::Callback done) {
   const FailoverTask* failover = this->FailoverOf(call.service);
   if (failover == nullptr) {
     this->Run(std::move(call), std::move(done));
@@ -140,8 +140,8 @@
 }
 
 void EndpointOwner::Run(connection::StatementCall call,
-                        EndpointTask::Callback done) {
-  EndpointTask* task = this->TaskOf(call.endpoint);
+                        EndpointPool::Callback done) {
+  EndpointPool* task = this->TaskOf(call.endpoint);
   if (task == nullptr) {
     done(NotRun(request::NotRunReason::kEndpointUnreachable, {}));
     return;
@@ -159,7 +159,7 @@
 
 void EndpointOwner::Acknowledge(const connection::StatementCall& call,
                                 connection::StatementReply reply,
-                                EndpointTask::Callback done) {
+                                EndpointPool::Callback done) {
   const auto service = this->configuration->services.find(call.service);
   std::vector<common::EndpointId> replicas;
   if (service != this->configuration->services.end()) {
@@ -167,8 +167,9 @@
       if (endpoint.id != call.endpoint) replicas.push_back(endpoint.id);
     }
   }
-  const Execution execution{call.endpoint, reply.term,
-                            std::get<request::Done>(reply.outcome).position};
+  const ExecutedStatement execution{
+      call.endpoint, reply.term,
+      std::get<request::Done>(reply.outcome).position};
   const auto task = std::make_shared<AcknowledgementTask>(
       this->loop, execution, replicas, call.deadline, this->confirm_router,
       [this, is_write = call.is_write, reply = std::move(reply),
@@ -193,8 +194,8 @@
 
 void EndpointOwner::Confirm(const common::EndpointId& endpoint,
                             common::LogPosition position, common::Duration wait,
-                            ConfirmBatch::Callback done) {
-  EndpointTask* task = this->TaskOf(endpoint);
+                            ConfirmBatcher::Callback done) {
+  EndpointPool* task = this->TaskOf(endpoint);
   if (task == nullptr) {
     done(connection::ConfirmReply{});
     return;
@@ -204,14 +205,14 @@
 
 bool EndpointOwner::Idle() const { return this->unfinished == 0; }
 
-EndpointTask* EndpointOwner::TaskOf(const common::EndpointId& endpoint) {
+EndpointPool* EndpointOwner::TaskOf(const common::EndpointId& endpoint) {
   const auto found = this->tasks.find(endpoint);
   if (found != this->tasks.end()) return found->second.get();
   if (this->configuration == nullptr) return nullptr;
   for (const auto& [service_id, service] : this->configuration->services) {
     for (const version::Endpoint& declared : service.endpoints) {
       if (declared.id != endpoint) continue;
-      auto task = std::make_unique<EndpointTask>(
+      auto task = std::make_unique<EndpointPool>(
           this->loop, declared, service, this->events, this->counters,
           [this, service_id = service_id,
            endpoint](const connection::StatementReply* reply) {
@@ -229,12 +230,12 @@
   return found == this->failovers.end() ? nullptr : found->second.get();
 }
 
-void EndpointOwner::Drop(std::unique_ptr<EndpointTask> task) {
+void EndpointOwner::Drop(std::unique_ptr<EndpointPool> task) {
   // Statements that run on the task still have to end.
   constexpr std::chrono::seconds kLongestStatement(30);
   this->loop->RunLater(
       kLongestStatement,
-      [task = std::shared_ptr<EndpointTask>(std::move(task))] {});
+      [task = std::shared_ptr<EndpointPool>(std::move(task))] {});
 }
 
 void EndpointOwner::Drop(std::unique_ptr<FailoverTask> task) {
--- a/Source/Core/Process/endpoint_owner.h
+++ b/Source/Core/Process/endpoint_owner.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "Process/acknowledgement_task.h"
-#include "Process/endpoint_task.h"
+#include "Process/endpoint_pool.h"
 #include "Process/failover_task.h"
 #include "Process/primary_directory.h"
 #include "Version/version.h"
@@ -38,25 +38,25 @@
 
   /// Runs a statement and, for a write or a read at the primary, waits until a
   /// replica holds the position.
-  void Execute(connection::StatementCall call, EndpointTask::Callback done);
+  void Execute(connection::StatementCall call, EndpointPool::Callback done);
 
   /// Asks an endpoint whether it holds an entry.
   void Confirm(const common::EndpointId& endpoint, common::LogPosition position,
-               common::Duration wait, ConfirmBatch::Callback done);
+               common::Duration wait, ConfirmBatcher::Callback done);
 
   /// True if no statement waits or runs.
   bool Idle() const;
 
  private:
-  EndpointTask* TaskOf(const common::EndpointId& endpoint);
+  EndpointPool* TaskOf(const common::EndpointId& endpoint);
   FailoverTask* FailoverOf(const common::ServiceId& service);
   void ExecuteWrite(connection::StatementCall call, common::SteadyTime until,
-                    EndpointTask::Callback done);
-  void Run(connection::StatementCall call, EndpointTask::Callback done);
+                    EndpointPool::Callback done);
+  void Run(connection::StatementCall call, EndpointPool::Callback done);
   void Acknowledge(const connection::StatementCall& call,
                    connection::StatementReply reply,
-                   EndpointTask::Callback done);
-  void Drop(std::unique_ptr<EndpointTask> task);
+                   EndpointPool::Callback done);
+  void Drop(std::unique_ptr<EndpointPool> task);
   void Drop(std::unique_ptr<FailoverTask> task);
 
   connection::EventLoop* loop;
@@ -66,7 +66,7 @@
   std::string incarnation;
   ConfirmRouter confirm_router;
   version::ConfigurationPointer configuration;
-  std::map<common::EndpointId, std::unique_ptr<EndpointTask>> tasks;
+  std::map<common::EndpointId, std::unique_ptr<EndpointPool>> tasks;
   std::map<common::ServiceId, std::unique_ptr<FailoverTask>> failovers;
   std::uint64_t next_coordinator = 1;
   std::size_t unfinished = 0;
--- a/Source/Core/Process/endpoint_task.cc
+++ b/Source/Core/Process/endpoint_pool.cc
@@ -1,4 +1,4 @@
-#include "Process/endpoint_task.h"
+#include "Process/endpoint_pool.h"
 
 #include <algorithm>
 #include <utility>
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-EndpointTask::EndpointTask(connection::EventLoop* loop,
+EndpointPool::EndpointPool(connection::EventLoop* loop,
                            const version::Endpoint& endpoint,
                            const version::Service& service, EventLog* events,
                            Counters* counters, Observer observer)
@@ -54,9 +54,9 @@
   this->tick = loop->Every(kTickInterval, [this] { this->OnTick(); });
 }
 
-EndpointTask::~EndpointTask() { *this->alive = false; }
+EndpointPool::~EndpointPool() { *this->alive = false; }
 
-void EndpointTask::Execute(connection::StatementCall call, Callback done) {
+void EndpointPool::Execute(connection::StatementCall call, Callback done) {
   if (this->monitor.IsDown()) {
     done(Unreachable());
     return;
@@ -80,17 +80,17 @@
   this->Pump();
 }
 
-void EndpointTask::Confirm(common::LogPosition position,
+void EndpointPool::Confirm(common::LogPosition position,
                            common::SteadyTime deadline,
-                           ConfirmBatch::Callback done) {
+                           ConfirmBatcher::Callback done) {
   this->confirms.Add(position, deadline, std::move(done));
 }
 
-bool EndpointTask::Idle() const {
+bool EndpointPool::Idle() const {
   return this->running == 0 && !this->queue.EarliestDeadline().has_value();
 }
 
-void EndpointTask::Pump() {
+void EndpointPool::Pump() {
   while (Lane* lane = this->FreeLane()) {
     std::optional<Pending> pending = this->PopReady();
     if (!pending) return;
@@ -98,7 +98,7 @@
   }
 }
 
-std::optional<EndpointTask::Pending> EndpointTask::PopReady() {
+std::optional<EndpointPool::Pending> EndpointPool::PopReady() {
   while (true) {
     Queue::PopResult popped = this->queue.Pop(common::SteadyNow());
     if (auto* ready = std::get_if<Queue::Ready>(&popped)) {
@@ -111,7 +111,7 @@
   }
 }
 
-EndpointTask::Lane* EndpointTask::FreeLane() {
+EndpointPool::Lane* EndpointPool::FreeLane() {
   for (const auto& lane : this->lanes) {
     if (!lane->done && this->monitor.MayUse(lane->id)) return lane.get();
   }
@@ -125,14 +125,14 @@
   return this->lanes.back().get();
 }
 
-EndpointTask::Lane* EndpointTask::FindLane(connection::LinkId id) {
+EndpointPool::Lane* EndpointPool::FindLane(connection::LinkId id) {
   const auto found =
       std::find_if(this->lanes.begin(), this->lanes.end(),
                    [id](const auto& lane) { return lane->id == id; });
   return found == this->lanes.end() ? nullptr : found->get();
 }
 
-void EndpointTask::Run(Lane* lane, Pending pending) {
+void EndpointPool::Run(Lane* lane, Pending pending) {
   ++this->running;
   lane->started = common::SteadyNow();
   lane->done = std::move(pending.done);
@@ -145,7 +145,7 @@
                       });
 }
 
-void EndpointTask::OnReply(connection::LinkId id, const std::string& request_id,
+void EndpointPool::OnReply(connection::LinkId id, const std::string& request_id,
                            const connection::StatementReply& reply) {
   Lane* lane = this->FindLane(id);
   if (lane == nullptr) return;
@@ -162,7 +162,7 @@
   this->Pump();
 }
 
-void EndpointTask::End(Lane* lane, const connection::StatementReply& reply) {
+void EndpointPool::End(Lane* lane, const connection::StatementReply& reply) {
   --this->running;
   this->queue.Completed(common::SteadyNow() - lane->started);
   const Callback done = std::exchange(lane->done, nullptr);
@@ -170,7 +170,7 @@
   done(reply);
 }
 
-void EndpointTask::OnTick() {
+void EndpointPool::OnTick() {
   while (auto shed = this->queue.PopExpired(common::SteadyNow())) {
     this->counters->Add("endpoint_deadline_passed");
     shed->item.done({shed->outcome, 0});
@@ -179,14 +179,14 @@
   this->Pump();
 }
 
-void EndpointTask::Handle(const connection::LinkEvent& event) {
+void EndpointPool::Handle(const connection::LinkEvent& event) {
   for (const connection::LinkAction& action :
        this->monitor.Handle(event, common::SteadyNow())) {
     std::visit([this](const auto& typed) { this->Perform(typed); }, action);
   }
 }
 
-void EndpointTask::Perform(const connection::OpenProbe& action) {
+void EndpointPool::Perform(const connection::OpenProbe& action) {
   this->counters->Add("endpoint_probes");
   const auto link =
       std::make_shared<connection::HttpEndpointLink>(this->loop, this->address);
@@ -203,7 +203,7 @@
       });
 }
 
-void EndpointTask::Perform(const connection::CloseLink& action) {
+void EndpointPool::Perform(const connection::CloseLink& action) {
   Lane* lane = this->FindLane(action.link);
   if (lane == nullptr) return;
   this->events->Record(common::WallNow(), common::Subsystem::kConnection,
@@ -217,21 +217,21 @@
   this->RemoveLane(action.link);
 }
 
-void EndpointTask::Perform(const connection::MarkEndpointDown& /*action*/) {
+void EndpointPool::Perform(const connection::MarkEndpointDown& /*action*/) {
   this->events->Record(common::WallNow(), common::Subsystem::kConnection,
                        "endpoint_down", {{"endpoint", this->endpoint.id}});
   this->observer(nullptr);
   this->RefuseAll();
 }
 
-void EndpointTask::RefuseAll() {
+void EndpointPool::RefuseAll() {
   while (std::optional<Pending> pending = this->PopReady()) {
     this->queue.Completed(common::Duration::zero());
     pending->done(Unreachable());
   }
 }
 
-void EndpointTask::RemoveLane(connection::LinkId id) {
+void EndpointPool::RemoveLane(connection::LinkId id) {
   if (this->FindLane(id) == nullptr) return;
   std::erase_if(this->lanes, [id](const std::unique_ptr<Lane>& lane) {
     return lane->id == id;
--- a/Source/Core/Process/endpoint_task.h
+++ b/Source/Core/Process/endpoint_pool.h
@@ -1,12 +1,12 @@
-#ifndef CAMPHORFERRY_PROCESS_ENDPOINT_TASK_H_
-#define CAMPHORFERRY_PROCESS_ENDPOINT_TASK_H_
+#ifndef CAMPHORFERRY_PROCESS_ENDPOINT_POOL_H_
+#define CAMPHORFERRY_PROCESS_ENDPOINT_POOL_H_
 
 #include <functional>
 #include <memory>
 #include <optional>
 #include <vector>
 
-#include "Process/confirm_batch.h"
+#include "Process/confirm_batcher.h"
 #include "Process/counters.h"
 #include "Process/event_log.h"
 #include "Request/request.h"
@@ -16,19 +16,19 @@
 
 /// Owns this daemon's statement connections to one endpoint and the queue in
 /// front of them.
-class EndpointTask {
+class EndpointPool {
  public:
   using Callback = std::function<void(connection::StatementReply)>;
   /// Called with each statement reply, and with none for a lost connection, so
   /// that failures are noticed without polling.
   using Observer = std::function<void(const connection::StatementReply*)>;
 
-  EndpointTask(connection::EventLoop* loop, const version::Endpoint& endpoint,
+  EndpointPool(connection::EventLoop* loop, const version::Endpoint& endpoint,
                const version::Service& service, EventLog* events,
                Counters* counters, Observer observer);
-  ~EndpointTask();
-  EndpointTask(const EndpointTask&) = delete;
-  EndpointTask& operator=(const EndpointTask&) = delete;
+  ~EndpointPool();
+  EndpointPool(const EndpointPool&) = delete;
+  EndpointPool& operator=(const EndpointPool&) = delete;
 
   /// Queues a statement by its workspace's weight and runs it on one of the
   /// endpoint's connections.
@@ -36,7 +36,7 @@
 
   /// Asks whether this endpoint, as a replica, holds an entry.
   void Confirm(common::LogPosition position, common::SteadyTime deadline,
-               ConfirmBatch::Callback done);
+               ConfirmBatcher::Callback done);
 
   /// True if nothing waits or runs.
   bool Idle() const;
@@ -84,7 +84,7 @@
   Counters* counters;
   Observer observer;
   Queue queue;
-  ConfirmBatch confirms;
+  ConfirmBatcher confirms;
   std::vector<std::unique_ptr<Lane>> lanes;
   connection::LinkMonitor monitor;
   connection::LinkId next_link = 1;
@@ -96,4 +96,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_ENDPOINT_TASK_H_
+#endif  // CAMPHORFERRY_PROCESS_ENDPOINT_POOL_H_
--- a/Source/Core/Process/failover_coordinator.cc
+++ b/Source/Core/Process/failover_coordinator.cc
@@ -103,7 +103,8 @@
   return member != nullptr && member->reachability == Reachability::kSuspect;
 }
 
-void FailoverCoordinator::On(const StatusSeen& event, common::SteadyTime now) {
+void FailoverCoordinator::On(const StatusReceived& event,
+                             common::SteadyTime now) {
   Member* member = this->Find(event.endpoint);
   if (member == nullptr) return;
   this->ObserveTerm(std::max(event.status.term, event.status.fence), now);
@@ -116,7 +117,7 @@
   this->Heard(member, now);
 }
 
-void FailoverCoordinator::On(const StatusMissed& event,
+void FailoverCoordinator::On(const StatusFailed& event,
                              common::SteadyTime now) {
   Member* member = this->Find(event.endpoint);
   if (member == nullptr) return;
@@ -237,12 +238,12 @@
   member->next_poll = now + kStatusInterval;
 }
 
-void FailoverCoordinator::CountMiss(Member* member, MissKind kind,
+void FailoverCoordinator::CountMiss(Member* member, FailureKind kind,
                                     common::SteadyTime now) {
   member->poll.reset();
   ++member->misses;
   member->next_poll = now;
-  if (kind == MissKind::kRefused) member->next_poll += kRefusedRetryDelay;
+  if (kind == FailureKind::kRefused) member->next_poll += kRefusedRetryDelay;
   if (member->misses < kSuspectMisses) return;
   member->reachability = Reachability::kSuspect;
   member->next_poll = now + kSuspectInterval;
@@ -276,7 +277,7 @@
 void FailoverCoordinator::ExpireRequests(common::SteadyTime now) {
   for (Member& member : this->members) {
     if (member.poll && now >= member.poll->deadline) {
-      this->CountMiss(&member, MissKind::kTimedOut, now);
+      this->CountMiss(&member, FailureKind::kTimedOut, now);
     }
     if (member.follow && now >= member.follow->deadline) {
       member.follow.reset();
@@ -494,7 +495,8 @@
     if (member.poll || now < member.next_poll) continue;
     const FailoverRequestId request = this->next_request++;
     member.poll = Outstanding{request, now + kStatusTimeout + kReportMargin};
-    this->actions.push_back(SendStatus{member.id, request, member.misses > 0});
+    this->actions.push_back(
+        SendStatusPoll{member.id, request, member.misses > 0});
   }
 }
 
--- a/Source/Core/Process/failover_coordinator.h
+++ b/Source/Core/Process/failover_coordinator.h
@@ -31,14 +31,14 @@
 /// id, in an ordinary answer. An ordinary answer doesn't contain the fence; its
 /// term takes the fence's place, since a lower value than the known one is
 /// ignored.
-struct StatusSeen {
+struct StatusReceived {
   common::EndpointId endpoint;
   std::optional<FailoverRequestId> request;
   EndpointStatus status;
 };
 
 /// How a poll ended without an answer.
-enum class MissKind {
+enum class FailureKind {
   /// The connection was refused or reset, so the process is probably gone.
   kRefused,
   /// No answer came in time.
@@ -47,10 +47,10 @@
 
 /// A poll got no answer or, without a request id, an ordinary request got
 /// none; the latter only brings the next poll forward.
-struct StatusMissed {
+struct StatusFailed {
   common::EndpointId endpoint;
   std::optional<FailoverRequestId> request;
-  MissKind kind = MissKind::kTimedOut;
+  FailureKind kind = FailureKind::kTimedOut;
 };
 
 /// Answer to a fence request.
@@ -101,12 +101,12 @@
 /// Time has passed.
 struct FailoverTick {};
 
-using FailoverEvent = std::variant<StatusSeen, StatusMissed, FenceReply,
+using FailoverEvent = std::variant<StatusReceived, StatusFailed, FenceReply,
                                    FenceFailed, PromoteReply, PromoteFailed,
                                    FollowReply, FollowFailed, FailoverTick>;
 
 /// Poll the status of an endpoint.
-struct SendStatus {
+struct SendStatusPoll {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
   /// Open a new connection instead of using the control connection, which may
@@ -142,7 +142,7 @@
   common::Term term = 0;
 };
 
-using FailoverAction = std::variant<SendStatus, SendFence, SendPromote,
+using FailoverAction = std::variant<SendStatusPoll, SendFence, SendPromote,
                                     SendFollow, AnnouncePrimary>;
 
 /// Primary of a group and its term.
@@ -251,8 +251,8 @@
     common::EndpointId target;
   };
 
-  void On(const StatusSeen& event, common::SteadyTime now);
-  void On(const StatusMissed& event, common::SteadyTime now);
+  void On(const StatusReceived& event, common::SteadyTime now);
+  void On(const StatusFailed& event, common::SteadyTime now);
   void On(const FenceReply& event, common::SteadyTime now);
   void On(const FenceFailed& event, common::SteadyTime now);
   void On(const PromoteReply& event, common::SteadyTime now);
@@ -264,7 +264,7 @@
   void DetectPause(common::SteadyTime now);
   void ForgetReachability(Member* member, common::SteadyTime now);
   void Heard(Member* member, common::SteadyTime now);
-  void CountMiss(Member* member, MissKind kind, common::SteadyTime now);
+  void CountMiss(Member* member, FailureKind kind, common::SteadyTime now);
   void Learn(Member* member, const EndpointStatus& status);
   void ObserveTerm(common::Term term, common::SteadyTime now);
   void ExpireRequests(common::SteadyTime now);
--- a/Source/Core/Process/failover_task.cc
+++ b/Source/Core/Process/failover_task.cc
@@ -24,9 +24,10 @@
   return {status.term, status.fence, status.role, status.position};
 }
 
-MissKind ToMissKind(connection::ControlFailure failure) {
-  return failure == connection::ControlFailure::kRefused ? MissKind::kRefused
-                                                         : MissKind::kTimedOut;
+FailureKind ToFailureKind(connection::ControlFailure failure) {
+  return failure == connection::ControlFailure::kRefused
+             ? FailureKind::kRefused
+             : FailureKind::kTimedOut;
 }
 
 }  // namespace
@@ -59,7 +60,7 @@
 void FailoverTask::Observe(const common::EndpointId& endpoint,
                            const connection::StatementReply* reply) {
   if (reply == nullptr) {
-    this->Handle(StatusMissed{endpoint, std::nullopt, MissKind::kTimedOut});
+    this->Handle(StatusFailed{endpoint, std::nullopt, FailureKind::kTimedOut});
     return;
   }
   const auto* done = std::get_if<request::Done>(&reply->outcome);
@@ -69,7 +70,7 @@
   const request::EndpointRole role = done->served_by_primary
                                          ? request::EndpointRole::kPrimary
                                          : request::EndpointRole::kReplica;
-  this->Handle(StatusSeen{
+  this->Handle(StatusReceived{
       endpoint, std::nullopt,
       EndpointStatus{reply->term, reply->term, role, done->position}});
 }
@@ -114,7 +115,7 @@
       };
 }
 
-void FailoverTask::Perform(const SendStatus& action) {
+void FailoverTask::Perform(const SendStatusPoll& action) {
   Member& member = this->members.at(action.endpoint);
   const bool reusable = member.status_link != nullptr &&
                         member.status_link->Usable() &&
@@ -129,13 +130,13 @@
         if (!*alive) return;
         if (const auto* status =
                 std::get_if<connection::EndpointStatus>(&result)) {
-          this->Handle(StatusSeen{action.endpoint, action.request,
-                                  ToCoordinatorStatus(*status)});
+          this->Handle(StatusReceived{action.endpoint, action.request,
+                                      ToCoordinatorStatus(*status)});
           return;
         }
-        this->Handle(StatusMissed{
+        this->Handle(StatusFailed{
             action.endpoint, action.request,
-            ToMissKind(std::get<connection::ControlFailure>(result))});
+            ToFailureKind(std::get<connection::ControlFailure>(result))});
       });
 }
 
--- a/Source/Core/Process/failover_task.h
+++ b/Source/Core/Process/failover_task.h
@@ -50,7 +50,7 @@
   };
 
   void Handle(const FailoverEvent& event);
-  void Perform(const SendStatus& action);
+  void Perform(const SendStatusPoll& action);
   void Perform(const SendFence& action);
   void Perform(const SendPromote& action);
   void Perform(const SendFollow& action);
--- a/Source/Core/Process/grpc_peer_link.cc
+++ b/Source/Core/Process/grpc_peer_client.cc
@@ -1,4 +1,4 @@
-#include "Process/grpc_peer_link.h"
+#include "Process/grpc_peer_client.h"
 
 #include <algorithm>
 #include <utility>
@@ -28,28 +28,28 @@
 
 }  // namespace
 
-GrpcPeerLink::GrpcPeerLink(connection::EventLoop* loop, EventLog* events)
+GrpcPeerClient::GrpcPeerClient(connection::EventLoop* loop, EventLog* events)
     : loop(loop), events(events) {}
 
-GrpcPeerLink::~GrpcPeerLink() { *this->alive = false; }
+GrpcPeerClient::~GrpcPeerClient() { *this->alive = false; }
 
-void GrpcPeerLink::SetAddress(const common::HostId& peer,
-                              const std::string& address) {
+void GrpcPeerClient::SetAddress(const common::HostId& peer,
+                                const std::string& address) {
   Peer& entry = this->peers[peer];
   if (entry.address == address) return;
   entry.address = address;
   entry.stub = peer::v1::Peer::NewStub(NewChannel(address));
 }
 
-peer::v1::Peer::Stub* GrpcPeerLink::StubOf(const common::HostId& peer) {
+peer::v1::Peer::Stub* GrpcPeerClient::StubOf(const common::HostId& peer) {
   const auto found = this->peers.find(peer);
   return found == this->peers.end() ? nullptr : found->second.stub.get();
 }
 
 template <typename Request, typename Reply, typename Method>
-void GrpcPeerLink::Call(const common::HostId& peer, Method method,
-                        Request request, common::Duration timeout,
-                        std::function<void(const Reply*)> done) {
+void GrpcPeerClient::Call(const common::HostId& peer, Method method,
+                          Request request, common::Duration timeout,
+                          std::function<void(const Reply*)> done) {
   peer::v1::Peer::Stub* stub = this->StubOf(peer);
   if (stub == nullptr) {
     this->loop->Post([done = std::move(done)] { done(nullptr); });
@@ -81,7 +81,7 @@
   method(stub, &state->context, sent, &state->reply)(finish);
 }
 
-void GrpcPeerLink::Execute(
+void GrpcPeerClient::Execute(
     const common::HostId& peer, const connection::StatementCall& call,
     common::SteadyTime now,
     std::function<void(connection::StatementReply)> done) {
@@ -96,7 +96,7 @@
   this->SendExecute(peer, call, now, std::move(done));
 }
 
-void GrpcPeerLink::SendExecute(
+void GrpcPeerClient::SendExecute(
     const common::HostId& peer, const connection::StatementCall& call,
     common::SteadyTime now,
     std::function<void(connection::StatementReply)> done) {
@@ -114,10 +114,10 @@
       });
 }
 
-void GrpcPeerLink::Confirm(const common::HostId& peer,
-                           const common::EndpointId& endpoint,
-                           common::LogPosition position, common::Duration wait,
-                           std::function<void(connection::ConfirmReply)> done) {
+void GrpcPeerClient::Confirm(
+    const common::HostId& peer, const common::EndpointId& endpoint,
+    common::LogPosition position, common::Duration wait,
+    std::function<void(connection::ConfirmReply)> done) {
   const auto method = [](peer::v1::Peer::Stub* stub, auto*... arguments) {
     return [=](auto finish) { stub->async()->Confirm(arguments..., finish); };
   };
@@ -133,7 +133,7 @@
       });
 }
 
-void GrpcPeerLink::Heartbeat(
+void GrpcPeerClient::Heartbeat(
     const common::HostId& peer, const HeartbeatExchange& heartbeat,
     std::function<void(std::optional<HeartbeatExchange>)> done) {
   const auto method = [](peer::v1::Peer::Stub* stub, auto*... arguments) {
@@ -150,7 +150,7 @@
       });
 }
 
-void GrpcPeerLink::PullConfiguration(
+void GrpcPeerClient::PullConfiguration(
     const common::HostId& peer, std::uint64_t have_version,
     std::function<void(std::optional<PeerConfiguration>)> done) {
   const auto method = [](peer::v1::Peer::Stub* stub, auto*... arguments) {
@@ -172,8 +172,8 @@
       });
 }
 
-void GrpcPeerLink::PushConfiguration(const common::HostId& peer,
-                                     const PeerConfiguration& configuration) {
+void GrpcPeerClient::PushConfiguration(const common::HostId& peer,
+                                       const PeerConfiguration& configuration) {
   const auto method = [](peer::v1::Peer::Stub* stub, auto*... arguments) {
     return [=](auto finish) {
       stub->async()->PushConfiguration(arguments..., finish);
@@ -187,7 +187,7 @@
       [](const peer::v1::PushConfigurationReply* /*reply*/) {});
 }
 
-void GrpcPeerLink::BorrowRate(
+void GrpcPeerClient::BorrowRate(
     const common::HostId& peer, const common::WorkspaceId& workspace,
     std::uint64_t wanted_millitokens,
     std::function<void(std::optional<PeerRateLoan>)> done) {
--- a/Source/Core/Process/grpc_peer_link.h
+++ b/Source/Core/Process/grpc_peer_client.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_GRPC_PEER_LINK_H_
-#define CAMPHORFERRY_PROCESS_GRPC_PEER_LINK_H_
+#ifndef CAMPHORFERRY_PROCESS_GRPC_PEER_CLIENT_H_
+#define CAMPHORFERRY_PROCESS_GRPC_PEER_CLIENT_H_
 
 #include <grpcpp/grpcpp.h>
 
@@ -8,17 +8,17 @@
 #include <string>
 
 #include "Process/event_log.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "peer.grpc.pb.h"
 
 namespace camphorferry::process {
 
 /// Peer link over gRPC. gRPC's threads only post the answers to the event loop.
-class GrpcPeerLink : public PeerLink {
+class GrpcPeerClient : public PeerClient {
  public:
   /// The event log gives the clock readings that messages carry.
-  GrpcPeerLink(connection::EventLoop* loop, EventLog* events);
-  ~GrpcPeerLink() override;
+  GrpcPeerClient(connection::EventLoop* loop, EventLog* events);
+  ~GrpcPeerClient() override;
 
   /// Sets the address of a peer; a changed address replaces the channel.
   void SetAddress(const common::HostId& peer, const std::string& address);
@@ -67,4 +67,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_GRPC_PEER_LINK_H_
+#endif  // CAMPHORFERRY_PROCESS_GRPC_PEER_CLIENT_H_
--- a/Source/Core/Process/grpc_peer_server.h
+++ b/Source/Core/Process/grpc_peer_server.h
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "Process/event_log.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "peer.grpc.pb.h"
 
 namespace camphorferry::process {
--- a/Source/Core/Process/lender_choice.cc
+++ b/Source/Core/Process/lender_selector.cc
@@ -1,4 +1,4 @@
-#include "Process/lender_choice.h"
+#include "Process/lender_selector.h"
 
 #include <chrono>
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-std::optional<HostId> LenderChoice::Next(const std::vector<HostId>& peers,
-                                         SteadyTime now) {
+std::optional<HostId> LenderSelector::Next(const std::vector<HostId>& peers,
+                                           SteadyTime now) {
   std::erase_if(this->lenders, [now](const auto& entry) {
     return entry.second.asked + kForgetAfter < now;
   });
@@ -44,14 +44,14 @@
   return choice;
 }
 
-void LenderChoice::OnAnswer(const HostId& lender, const RateLoan& loan,
-                            SteadyTime now) {
+void LenderSelector::OnAnswer(const HostId& lender, const RateLoan& loan,
+                              SteadyTime now) {
   const auto known = this->lenders.find(lender);
   if (known == this->lenders.end() || loan.Empty()) {
     return;
   }
   // The lender granted it before now.
-  known->second.lending_until = now + GiverWait(kLoanLength);
+  known->second.lending_until = now + GrantorPeriod(kLoanDuration);
 }
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/lender_choice.h
+++ b/Source/Core/Process/lender_selector.h
@@ -1,17 +1,17 @@
-#ifndef CAMPHORFERRY_PROCESS_LENDER_CHOICE_H_
-#define CAMPHORFERRY_PROCESS_LENDER_CHOICE_H_
+#ifndef CAMPHORFERRY_PROCESS_LENDER_SELECTOR_H_
+#define CAMPHORFERRY_PROCESS_LENDER_SELECTOR_H_
 
 #include <map>
 #include <optional>
 #include <vector>
 
 #include "Common/common.h"
-#include "Process/rate_share.h"
+#include "Process/local_rate_limiter.h"
 
 namespace camphorferry::process {
 
 /// Chooses the peer that one workspace's next loan is asked from.
-class LenderChoice {
+class LenderSelector {
  public:
   /// Of the peers whose loan is not running, the one that was not asked for the
   /// longest time, earlier ones in the list first. Empty if all are lending.
@@ -34,4 +34,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_LENDER_CHOICE_H_
+#endif  // CAMPHORFERRY_PROCESS_LENDER_SELECTOR_H_
--- a/Source/Core/Process/rate_share.cc
+++ b/Source/Core/Process/local_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "Process/rate_share.h"
+#include "Process/local_rate_limiter.h"
 
 #include <algorithm>
 
@@ -72,8 +72,8 @@
 
 }  // namespace
 
-Millitokens SlotPart(Millitokens amount, std::uint32_t total_slots,
-                     RateSlotNumber slot) {
+Millitokens PerSlotAmount(Millitokens amount, std::uint32_t total_slots,
+                          RateSlotNumber slot) {
   if (slot >= total_slots) {
     return 0;
   }
@@ -81,14 +81,14 @@
   return amount / total_slots + (slot < remainder ? 1 : 0);
 }
 
-RateShare::RateShare(const RateLimits& limits, SteadyTime now)
-    : RateShare(limits, now, Policy()) {}
+LocalRateLimiter::LocalRateLimiter(const RateLimits& limits, SteadyTime now)
+    : LocalRateLimiter(limits, now, Policy()) {}
 
-RateShare::RateShare(const RateLimits& limits, SteadyTime now,
-                     const Policy& policy)
+LocalRateLimiter::LocalRateLimiter(const RateLimits& limits, SteadyTime now,
+                                   const Policy& policy)
     : limits(limits), policy(policy), settled(now), demand_start(now) {}
 
-Admission RateShare::Admit(SteadyTime now, Attempt attempt) {
+Admission LocalRateLimiter::Admit(SteadyTime now, Attempt attempt) {
   this->Settle(now);
   if (attempt == Attempt::kFirst) {
     ++this->demand_now;
@@ -107,8 +107,8 @@
       Duration(static_cast<Duration::rep>((missing + gain - 1) / gain))};
 }
 
-void RateShare::AddSlot(RateSlotNumber slot, SteadyTime lease_end,
-                        SteadyTime now) {
+void LocalRateLimiter::AddSlot(RateSlotNumber slot, SteadyTime lease_end,
+                               SteadyTime now) {
   this->Settle(now);
   if (lease_end <= this->settled) {
     return;
@@ -117,8 +117,8 @@
   this->Recompute();
 }
 
-void RateShare::RenewSlot(RateSlotNumber slot, SteadyTime lease_end,
-                          SteadyTime now) {
+void LocalRateLimiter::RenewSlot(RateSlotNumber slot, SteadyTime lease_end,
+                                 SteadyTime now) {
   this->Settle(now);
   const auto found = this->slots.find(slot);
   if (found == this->slots.end()) {
@@ -127,18 +127,18 @@
   found->second = std::max(found->second, lease_end);
 }
 
-void RateShare::RemoveSlot(RateSlotNumber slot, SteadyTime now) {
+void LocalRateLimiter::RemoveSlot(RateSlotNumber slot, SteadyTime now) {
   this->Settle(now);
   this->slots.erase(slot);
   this->Recompute();
 }
 
-void RateShare::SetLimits(const RateLimits& changed, SteadyTime now) {
+void LocalRateLimiter::SetLimits(const RateLimits& changed, SteadyTime now) {
   this->Settle(now);
   if (changed.total_slots != this->limits.total_slots) {
     SlotChange change{.fewest = this->limits.total_slots,
                       .most = this->limits.total_slots,
-                      .end = this->settled + GiverWait(kSlotLeaseLength)};
+                      .end = this->settled + GrantorPeriod(kSlotLeaseDuration)};
     if (this->slot_change) {
       change.fewest = this->slot_change->fewest;
       change.most = this->slot_change->most;
@@ -151,12 +151,12 @@
   this->Recompute();
 }
 
-RateLoan RateShare::Lend(Millitokens wanted, SteadyTime now) {
+RateLoan LocalRateLimiter::Lend(Millitokens wanted, SteadyTime now) {
   this->Settle(now);
   if (wanted <= 0) {
     return RateLoan{};
   }
-  const SteadyTime back = this->settled + GiverWait(kLoanLength);
+  const SteadyTime back = this->settled + GrantorPeriod(kLoanDuration);
   // A slot whose lease ends before the loan is back could by then be used by
   // another daemon as well.
   const Amounts lasting = this->AmountsOfSlotsUntil(back);
@@ -182,12 +182,12 @@
                std::max<Millitokens>(0, this->level - reserve));
 
   const Millitokens wanted_rate = std::max<Millitokens>(
-      1, wanted / std::chrono::duration_cast<seconds>(kLoanLength).count());
+      1, wanted / std::chrono::duration_cast<seconds>(kLoanDuration).count());
   RateLoan loan;
   loan.rate = std::min(spare_rate, wanted_rate);
   loan.level = std::min({spare_level, spare_capacity, wanted});
   loan.capacity = std::min(spare_capacity, std::max(loan.level, wanted));
-  loan.length = kLoanLength;
+  loan.length = kLoanDuration;
   if (loan.capacity == 0 || (loan.rate == 0 && loan.level == 0)) {
     return RateLoan{};
   }
@@ -198,7 +198,8 @@
   return loan;
 }
 
-std::optional<BorrowRequest> RateShare::NextBorrow(SteadyTime now) {
+std::optional<BorrowRequest> LocalRateLimiter::NextBorrowRequest(
+    SteadyTime now) {
   this->Settle(now);
   if (this->last_request &&
       this->settled < *this->last_request + this->RequestGap()) {
@@ -225,12 +226,12 @@
   this->last_request = this->settled;
   ++this->requests_without_loan;
   this->open_requests.push_back(now);
-  return BorrowRequest{PerSecondTimes(missing_rate, kLoanLength) +
+  return BorrowRequest{PerSecondTimes(missing_rate, kLoanDuration) +
                        missing_level};
 }
 
-void RateShare::Borrow(SteadyTime now_before_request, const RateLoan& loan,
-                       SteadyTime now) {
+void LocalRateLimiter::AcceptLoan(SteadyTime now_before_request,
+                                  const RateLoan& loan, SteadyTime now) {
   this->Settle(now);
   const auto request = std::find(this->open_requests.begin(),
                                  this->open_requests.end(), now_before_request);
@@ -242,7 +243,7 @@
                                ? now_before_request
                                : this->settled;
   const SteadyTime end =
-      start + UserPeriod(std::min<Duration>(loan.length, kLoanLength));
+      start + HolderPeriod(std::min<Duration>(loan.length, kLoanDuration));
   if (loan.Empty() || end <= this->settled) {
     return;
   }
@@ -254,23 +255,23 @@
                          this->current.capacity);
 }
 
-Millitokens RateShare::Rate(SteadyTime now) {
+Millitokens LocalRateLimiter::Rate(SteadyTime now) {
   this->Settle(now);
   return this->current.rate;
 }
 
-Millitokens RateShare::Capacity(SteadyTime now) {
+Millitokens LocalRateLimiter::Capacity(SteadyTime now) {
   this->Settle(now);
   return this->current.capacity;
 }
 
-Millitokens RateShare::Level(SteadyTime now) {
+Millitokens LocalRateLimiter::Level(SteadyTime now) {
   this->Settle(now);
   return this->level;
 }
 
 /// Refills up to now, with the rate and capacity of each moment in between.
-void RateShare::Settle(SteadyTime now) {
+void LocalRateLimiter::Settle(SteadyTime now) {
   now = std::max(now, this->settled);
   while (const std::optional<SteadyTime> end = this->NextEnd(now)) {
     this->Refill(*end);
@@ -288,12 +289,12 @@
   }
   this->demand_start += periods * kDemandPeriod;
   std::erase_if(this->open_requests, [now](SteadyTime request) {
-    return request + kLoanLength <= now;
+    return request + kLoanDuration <= now;
   });
 }
 
 /// Earliest time, up to now, at which a slot, a loan or a change ends.
-std::optional<SteadyTime> RateShare::NextEnd(SteadyTime now) const {
+std::optional<SteadyTime> LocalRateLimiter::NextEnd(SteadyTime now) const {
   std::optional<SteadyTime> next;
   const auto consider = [&next, now](SteadyTime end) {
     if (end <= now && (!next || end < *next)) {
@@ -315,7 +316,7 @@
   return next;
 }
 
-void RateShare::DropEnded() {
+void LocalRateLimiter::DropEnded() {
   const SteadyTime now = this->settled;
   const auto loan_ended = [now](const RunningLoan& loan) {
     return loan.end <= now;
@@ -329,7 +330,7 @@
   }
 }
 
-void RateShare::Refill(SteadyTime until) {
+void LocalRateLimiter::Refill(SteadyTime until) {
   const Wide elapsed = (until - this->settled).count();
   const Wide units =
       this->fraction + elapsed * this->current.rate * kRefillPermille;
@@ -344,7 +345,7 @@
 }
 
 /// Applies what the daemon holds now; the caller has refilled.
-void RateShare::Recompute() {
+void LocalRateLimiter::Recompute() {
   const Amounts held = this->AmountsOfSlotsUntil(this->settled);
   const Amounts out = this->Given();
   this->current.rate = std::max<Millitokens>(0, held.rate - out.rate);
@@ -360,7 +361,8 @@
   }
 }
 
-RateShare::Amounts RateShare::SlotAmounts(RateSlotNumber slot) const {
+LocalRateLimiter::Amounts LocalRateLimiter::SlotAmounts(
+    RateSlotNumber slot) const {
   std::uint32_t usable = this->limits.total_slots;
   std::uint32_t total = this->limits.total_slots;
   if (this->slot_change) {
@@ -371,12 +373,14 @@
     return Amounts{};
   }
   return Amounts{
-      .rate = SlotPart(Millitokens{this->limits.rate} * 1000, total, slot),
-      .capacity = SlotPart(Millitokens{this->limits.burst} * 1000, total, slot),
+      .rate = PerSlotAmount(Millitokens{this->limits.rate} * 1000, total, slot),
+      .capacity =
+          PerSlotAmount(Millitokens{this->limits.burst} * 1000, total, slot),
   };
 }
 
-RateShare::Amounts RateShare::AmountsOfSlotsUntil(SteadyTime end) const {
+LocalRateLimiter::Amounts LocalRateLimiter::AmountsOfSlotsUntil(
+    SteadyTime end) const {
   Amounts sum;
   for (const auto& [slot, lease_end] : this->slots) {
     if (lease_end < end) {
@@ -389,7 +393,7 @@
   return sum;
 }
 
-RateShare::Amounts RateShare::Given() const {
+LocalRateLimiter::Amounts LocalRateLimiter::Given() const {
   Amounts sum;
   for (const RunningLoan& loan : this->given) {
     sum.rate += loan.rate;
@@ -398,7 +402,7 @@
   return sum;
 }
 
-void RateShare::NextDemandPeriod() {
+void LocalRateLimiter::NextDemandPeriod() {
   const Millitokens rate = PerSecond(this->demand_now, kDemandPeriod);
   this->demand_mean =
       this->HasRisen(rate)
@@ -410,14 +414,14 @@
 
 /// True if a period's demand is above the mean by more than chance makes
 /// likely.
-bool RateShare::HasRisen(Millitokens rate) const {
+bool LocalRateLimiter::HasRisen(Millitokens rate) const {
   return rate > 2 * this->demand_mean + 2 * kRequestCost;
 }
 
 /// Rate that the own demand needs while a loan runs. The mean over some seconds
 /// is used because the larger of the last two seconds overstates a small random
 /// demand, so that too little is lent.
-Millitokens RateShare::LenderNeed() const {
+Millitokens LocalRateLimiter::LenderNeed() const {
   const Millitokens rate = PerSecond(this->demand_now, kDemandPeriod);
   return WithReserve(this->HasRisen(rate) ? rate : this->demand_mean);
 }
@@ -425,14 +429,14 @@
 /// Demand if the present period goes on as it began. Only a borrower uses it:
 /// a lender that took a few requests in a row for its demand would keep rate
 /// that it does not need.
-Millitokens RateShare::ProjectedDemandRate() const {
+Millitokens LocalRateLimiter::ProjectedDemandRate() const {
   const Duration elapsed =
       std::max(this->settled - this->demand_start, kShortestDemandSample);
   return std::max(PerSecond(this->demand_now, elapsed),
                   PerSecond(this->demand_before, kDemandPeriod));
 }
 
-Duration RateShare::RequestGap() const {
+Duration LocalRateLimiter::RequestGap() const {
   if (this->requests_without_loan <= 1) {
     return kShortRequestGap;
   }
@@ -442,7 +446,7 @@
 }
 
 /// Rate at a later time if nothing is added.
-Millitokens RateShare::RateAt(SteadyTime time) const {
+Millitokens LocalRateLimiter::RateAt(SteadyTime time) const {
   Amounts sum = this->AmountsOfSlotsUntil(time);
   for (const RunningLoan& loan : this->given) {
     if (loan.end > time) {
--- a/Source/Core/Process/rate_share.h
+++ b/Source/Core/Process/local_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_RATE_SHARE_H_
-#define CAMPHORFERRY_PROCESS_RATE_SHARE_H_
+#ifndef CAMPHORFERRY_PROCESS_LOCAL_RATE_LIMITER_H_
+#define CAMPHORFERRY_PROCESS_LOCAL_RATE_LIMITER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -27,28 +27,28 @@
 inline constexpr std::int64_t kClockErrorPermille = 5;
 
 /// Length of a loan as its borrower and its lender name it.
-inline constexpr common::Duration kLoanLength = std::chrono::seconds(5);
+inline constexpr common::Duration kLoanDuration = std::chrono::seconds(5);
 
 /// Length of a slot's lease as its holder and its takers name it.
-inline constexpr common::Duration kSlotLeaseLength = std::chrono::minutes(90);
+inline constexpr common::Duration kSlotLeaseDuration = std::chrono::minutes(90);
 
 /// Time that the side which gives something away for a while waits until it
 /// uses it again: 1% more than agreed.
-constexpr common::Duration GiverWait(common::Duration agreed) {
+constexpr common::Duration GrantorPeriod(common::Duration agreed) {
   return agreed + agreed / 100;
 }
 
 /// Time that the side which got something for a while uses it. Two clocks that
 /// are off by 0.5% in opposite directions differ by 1.005 / 0.995, which is
 /// 0.005% more than the giver's 1%; stopping 0.01% early covers that.
-constexpr common::Duration UserPeriod(common::Duration agreed) {
+constexpr common::Duration HolderPeriod(common::Duration agreed) {
   return agreed - agreed / 10000;
 }
 
 /// Part of a fleet-wide amount that one slot stands for. The remainder of the
 /// division goes to the lowest slots, so the parts add up to the amount.
-Millitokens SlotPart(Millitokens amount, std::uint32_t total_slots,
-                     RateSlotNumber slot);
+Millitokens PerSlotAmount(Millitokens amount, std::uint32_t total_slots,
+                          RateSlotNumber slot);
 
 /// Limits of one workspace over the whole fleet.
 struct RateLimits {
@@ -90,7 +90,7 @@
 
 /// Whether a request asks for the first time. One that was refused, waited and
 /// asks again is not new demand.
-enum class Attempt { kFirst, kRepeated };
+enum class Attempt { kFirst, kRetry };
 
 /// A request for a loan that is to be sent now.
 struct BorrowRequest {
@@ -104,7 +104,7 @@
 /// burst. Every method takes the time on this daemon's steady clock and first
 /// ends what has expired by then, so that a daemon which was paused does not
 /// use an ended lease or loan.
-class RateShare {
+class LocalRateLimiter {
  public:
   /// Switches that break the rules, for tests of the checks themselves.
   struct Policy {
@@ -112,9 +112,9 @@
     bool loan_counts_from_request = true;
   };
 
-  RateShare(const RateLimits& limits, common::SteadyTime now);
-  RateShare(const RateLimits& limits, common::SteadyTime now,
-            const Policy& policy);
+  LocalRateLimiter(const RateLimits& limits, common::SteadyTime now);
+  LocalRateLimiter(const RateLimits& limits, common::SteadyTime now,
+                   const Policy& policy);
 
   /// Decides about one request and deducts its token.
   Admission Admit(common::SteadyTime now, Attempt attempt = Attempt::kFirst);
@@ -128,7 +128,7 @@
                  common::SteadyTime now);
 
   /// Stops using a slot. Loans that were given from it end within
-  /// GiverWait(kLoanLength); the slot may go to another daemon only then.
+  /// GrantorPeriod(kLoanDuration); the slot may go to another daemon only then.
   void RemoveSlot(RateSlotNumber slot, common::SteadyTime now);
 
   /// Changes the limits. Lower limits cut the level at once; higher ones bring
@@ -142,12 +142,12 @@
 
   /// A request for a loan, if this daemon will run dry soon and has not asked
   /// too recently. Borrow expects the same time as now_before_request.
-  std::optional<BorrowRequest> NextBorrow(common::SteadyTime now);
+  std::optional<BorrowRequest> NextBorrowRequest(common::SteadyTime now);
 
-  /// Takes a loan that answers the request which NextBorrow returned at
+  /// Takes a loan that answers the request which NextBorrowRequest returned at
   /// now_before_request. A second answer to one request is ignored.
-  void Borrow(common::SteadyTime now_before_request, const RateLoan& loan,
-              common::SteadyTime now);
+  void AcceptLoan(common::SteadyTime now_before_request, const RateLoan& loan,
+                  common::SteadyTime now);
 
   /// Millitokens per second that this daemon may use now.
   Millitokens Rate(common::SteadyTime now);
@@ -223,4 +223,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_RATE_SHARE_H_
+#endif  // CAMPHORFERRY_PROCESS_LOCAL_RATE_LIMITER_H_
--- a/Source/Core/Process/membership.cc
+++ b/Source/Core/Process/membership.cc
@@ -93,7 +93,7 @@
   }
 }
 
-std::vector<HostId> Membership::HeartbeatTargets(SteadyTime now) {
+std::vector<HostId> Membership::StartHeartbeatRound(SteadyTime now) {
   if (now - this->last_round > kLongestRound) {
     this->listening_since = now;
   }
@@ -108,7 +108,8 @@
   const std::vector<HostId> relays = this->RelayTargets(now);
   targets.insert(targets.end(), relays.begin(), relays.end());
 
-  const bool small_domain = this->peers[this->domain].size() <= kMaxDirectPeers;
+  const bool small_domain =
+      this->peers[this->domain].size() <= kMaxFullMeshPeers;
   for (auto& [name, members] : this->peers) {
     for (auto& [host, peer] : members) {
       const bool expected =
@@ -356,7 +357,7 @@
   if (members == this->peers.end()) {
     return targets;
   }
-  if (members->second.size() <= kMaxDirectPeers) {
+  if (members->second.size() <= kMaxFullMeshPeers) {
     for (const auto& [host, peer] : members->second) {
       if (Initiates(this->self, host)) {
         targets.push_back(host);
--- a/Source/Core/Process/membership.h
+++ b/Source/Core/Process/membership.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "Common/common.h"
-#include "Process/rate_slot_lease.h"
+#include "Process/rate_slot_lease_manager.h"
 
 namespace camphorferry::process {
 
@@ -22,7 +22,7 @@
 
 /// Up to this number of peers in its failure domain a daemon exchanges
 /// heartbeats with all of them.
-inline constexpr std::size_t kMaxDirectPeers = 8;
+inline constexpr std::size_t kMaxFullMeshPeers = 8;
 
 /// Number of peers that a daemon of a larger domain sends heartbeats to. As
 /// many send to it, so that it hears from as many peers as in a small domain.
@@ -65,14 +65,15 @@
 /// One daemon's view of which daemons live. The view may be wrong for a while
 /// without harm.
 ///
-/// In a failure domain with up to kMaxDirectPeers peers, every pair of daemons
-/// exchanges heartbeats, and one that was not heard for kHeartbeatTimeout is
-/// skipped. In a larger domain each daemon sends to kRingTargets others, and
-/// the other daemons count as live by the host list until one that sends to
-/// them reports them silent: refreshing each of 155 daemons at all others every
-/// second would take more than the bytes that a daemon may use for control.
-/// Reports travel with heartbeats, with the age of what they say. One daemon of
-/// each domain exchanges heartbeats with one of each other domain.
+/// In a failure domain with up to kMaxFullMeshPeers peers, every pair of
+/// daemons exchanges heartbeats, and one that was not heard for
+/// kHeartbeatTimeout is skipped. In a larger domain each daemon sends to
+/// kRingTargets others, and the other daemons count as live by the host list
+/// until one that sends to them reports them silent: refreshing each of 155
+/// daemons at all others every second would take more than the bytes that a
+/// daemon may use for control. Reports travel with heartbeats, with the age of
+/// what they say. One daemon of each domain exchanges heartbeats with one of
+/// each other domain.
 class Membership {
  public:
   Membership(common::HostId self, common::FailureDomainId domain,
@@ -89,7 +90,7 @@
 
   /// Starts a round of heartbeats: finds out who is silent and returns whom to
   /// send to. To be called every kHeartbeatInterval.
-  std::vector<common::HostId> HeartbeatTargets(common::SteadyTime now);
+  std::vector<common::HostId> StartHeartbeatRound(common::SteadyTime now);
 
   /// What to say about others in a heartbeat to a daemon of a domain.
   std::vector<PeerReport> Reports(const common::FailureDomainId& receiver,
--- a/Source/Core/Process/membership_task.cc
+++ b/Source/Core/Process/membership_task.cc
@@ -19,7 +19,7 @@
 
 MembershipTask::MembershipTask(connection::EventLoop* loop,
                                connection::ObjectStore* store,
-                               GrpcPeerLink* peers, Membership* membership,
+                               GrpcPeerClient* peers, Membership* membership,
                                const Settings& settings,
                                std::uint64_t incarnation, Hooks hooks)
     : loop(loop),
@@ -56,7 +56,7 @@
 
 void MembershipTask::Round() {
   for (const common::HostId& target :
-       this->membership->HeartbeatTargets(common::SteadyNow())) {
+       this->membership->StartHeartbeatRound(common::SteadyNow())) {
     const auto target_domain = this->domains.find(target);
     if (target_domain == this->domains.end()) continue;
     this->peers->Heartbeat(
--- a/Source/Core/Process/membership_task.h
+++ b/Source/Core/Process/membership_task.h
@@ -7,9 +7,9 @@
 #include <set>
 #include <vector>
 
-#include "Process/grpc_peer_link.h"
+#include "Process/grpc_peer_client.h"
 #include "Process/membership.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "Process/settings.h"
 
 namespace camphorferry::process {
@@ -27,7 +27,7 @@
   };
 
   MembershipTask(connection::EventLoop* loop, connection::ObjectStore* store,
-                 GrpcPeerLink* peers, Membership* membership,
+                 GrpcPeerClient* peers, Membership* membership,
                  const Settings& settings, std::uint64_t incarnation,
                  Hooks hooks);
 
@@ -57,7 +57,7 @@
 
   connection::EventLoop* loop;
   connection::ObjectStore* store;
-  GrpcPeerLink* peers;
+  GrpcPeerClient* peers;
   Membership* membership;
   common::HostId self;
   common::FailureDomainId domain;
--- a/Source/Core/Process/operator_task.cc
+++ b/Source/Core/Process/operator_http_server.cc
@@ -1,4 +1,4 @@
-#include "Process/operator_task.h"
+#include "Process/operator_http_server.h"
 
 #include <charconv>
 #include <utility>
@@ -79,11 +79,12 @@
 
 }  // namespace
 
-OperatorTask::OperatorTask(connection::EventLoop* loop,
-                           const connection::SocketAddress& address,
-                           connection::ObjectStore* store,
-                           ConfigurationTask* configuration, Counters* counters,
-                           EventLog* events, OperatorHooks hooks)
+OperatorHttpServer::OperatorHttpServer(connection::EventLoop* loop,
+                                       const connection::SocketAddress& address,
+                                       connection::ObjectStore* store,
+                                       ConfigurationTask* configuration,
+                                       Counters* counters, EventLog* events,
+                                       OperatorCallbacks hooks)
     : store(store),
       configuration(configuration),
       counters(counters),
@@ -95,8 +96,8 @@
                this->OnRequest(request, responder);
              }) {}
 
-void OperatorTask::OnRequest(const connection::HttpRequest& request,
-                             const Responder& responder) {
+void OperatorHttpServer::OnRequest(const connection::HttpRequest& request,
+                                   const Responder& responder) {
   try {
     if (request.method == "GET" && this->OnGet(request, responder)) return;
     if (request.method == "POST" && request.path == "/operator/v1/plan") {
@@ -118,8 +119,8 @@
   }
 }
 
-bool OperatorTask::OnGet(const connection::HttpRequest& request,
-                         const Responder& responder) {
+bool OperatorHttpServer::OnGet(const connection::HttpRequest& request,
+                               const Responder& responder) {
   if (request.path == "/operator/v1/status") {
     SendJson(responder, 200, this->hooks.status());
     return true;
@@ -151,8 +152,8 @@
   return false;
 }
 
-void OperatorTask::OnPlan(const connection::HttpRequest& request,
-                          const Responder& responder) {
+void OperatorHttpServer::OnPlan(const connection::HttpRequest& request,
+                                const Responder& responder) {
   const OperatorRequest parsed = ParseOperatorRequest(request.body);
   this->ReadCurrent(responder, [responder, declared = parsed.declared](
                                    connection::ObjectVersion /*store_version*/,
@@ -162,8 +163,8 @@
   });
 }
 
-void OperatorTask::OnApply(const connection::HttpRequest& request,
-                           const Responder& responder) {
+void OperatorHttpServer::OnApply(const connection::HttpRequest& request,
+                                 const Responder& responder) {
   const OperatorRequest parsed = ParseOperatorRequest(request.body);
   if (parsed.digest.empty()) {
     throw BadOperatorRequestError("expected the digest of a plan");
@@ -171,9 +172,9 @@
   this->Apply(parsed.declared, parsed.digest, responder, kMaxApplyAttempts);
 }
 
-void OperatorTask::Apply(const version::Configuration& declared,
-                         const std::string& digest, const Responder& responder,
-                         int attempts_left) {
+void OperatorHttpServer::Apply(const version::Configuration& declared,
+                               const std::string& digest,
+                               const Responder& responder, int attempts_left) {
   this->ReadCurrent(responder, [=, this](
                                    connection::ObjectVersion store_version,
                                    const version::Configuration& current) {
@@ -200,12 +201,13 @@
   });
 }
 
-void OperatorTask::OnDrain(const Responder& responder) {
+void OperatorHttpServer::OnDrain(const Responder& responder) {
   SendJson(responder, 200, {{"result", "draining"}});
   this->hooks.drain();
 }
 
-void OperatorTask::ReadCurrent(const Responder& responder, WithCurrent then) {
+void OperatorHttpServer::ReadCurrent(const Responder& responder,
+                                     WithCurrent then) {
   this->store->Read(
       kConfigurationPath, [responder, then = std::move(then)](
                               const connection::ReadResult& result) {
@@ -229,10 +231,10 @@
       });
 }
 
-void OperatorTask::Write(connection::ObjectVersion store_version,
-                         version::Configuration next,
-                         const Responder& responder,
-                         std::function<void()> on_conflict) {
+void OperatorHttpServer::Write(connection::ObjectVersion store_version,
+                               version::Configuration next,
+                               const Responder& responder,
+                               std::function<void()> on_conflict) {
   const auto written =
       std::make_shared<const version::Configuration>(std::move(next));
   this->store->Write(
--- a/Source/Core/Process/operator_task.h
+++ b/Source/Core/Process/operator_http_server.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_OPERATOR_TASK_H_
-#define CAMPHORFERRY_PROCESS_OPERATOR_TASK_H_
+#ifndef CAMPHORFERRY_PROCESS_OPERATOR_HTTP_SERVER_H_
+#define CAMPHORFERRY_PROCESS_OPERATOR_HTTP_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -13,7 +13,7 @@
 namespace camphorferry::process {
 
 /// What operators may ask of a daemon besides plans.
-struct OperatorHooks {
+struct OperatorCallbacks {
   /// State of the daemon for GET /operator/v1/status.
   std::function<nlohmann::json()> status;
   /// Starts a graceful shutdown.
@@ -23,12 +23,13 @@
 };
 
 /// Serves the operators' listener: plans, confirmations and reports.
-class OperatorTask {
+class OperatorHttpServer {
  public:
-  OperatorTask(connection::EventLoop* loop,
-               const connection::SocketAddress& address,
-               connection::ObjectStore* store, ConfigurationTask* configuration,
-               Counters* counters, EventLog* events, OperatorHooks hooks);
+  OperatorHttpServer(connection::EventLoop* loop,
+                     const connection::SocketAddress& address,
+                     connection::ObjectStore* store,
+                     ConfigurationTask* configuration, Counters* counters,
+                     EventLog* events, OperatorCallbacks hooks);
 
   std::uint16_t Port() const { return this->server.Port(); }
 
@@ -60,10 +61,10 @@
   ConfigurationTask* configuration;
   Counters* counters;
   EventLog* events;
-  OperatorHooks hooks;
+  OperatorCallbacks hooks;
   connection::HttpServer server;
 };
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_OPERATOR_TASK_H_
+#endif  // CAMPHORFERRY_PROCESS_OPERATOR_HTTP_SERVER_H_
--- a/Source/Core/Process/peer_link.h
+++ b/Source/Core/Process/peer_client.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_PEER_LINK_H_
-#define CAMPHORFERRY_PROCESS_PEER_LINK_H_
+#ifndef CAMPHORFERRY_PROCESS_PEER_CLIENT_H_
+#define CAMPHORFERRY_PROCESS_PEER_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -35,9 +35,9 @@
 
 /// Port to the other daemons. Callbacks are called once, from the event loop;
 /// an empty optional means that no answer came.
-class PeerLink {
+class PeerClient {
  public:
-  virtual ~PeerLink() = default;
+  virtual ~PeerClient() = default;
 
   /// Runs a statement at the owner of the endpoint's connections.
   virtual void Execute(
@@ -89,4 +89,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_PEER_LINK_H_
+#endif  // CAMPHORFERRY_PROCESS_PEER_CLIENT_H_
--- a/Source/Core/Process/peer_codec.h
+++ b/Source/Core/Process/peer_codec.h
@@ -1,7 +1,7 @@
 #ifndef CAMPHORFERRY_PROCESS_PEER_CODEC_H_
 #define CAMPHORFERRY_PROCESS_PEER_CODEC_H_
 
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "peer.pb.h"
 
 namespace camphorferry::process {
--- a/Source/Core/Process/rate_task.cc
+++ b/Source/Core/Process/rate_limit_task.cc
@@ -1,4 +1,4 @@
-#include "Process/rate_task.h"
+#include "Process/rate_limit_task.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,9 +21,10 @@
 }
 
 /// Numbers of the domain's slots: domains are numbered through in their order.
-RateSlotLease::SlotRange RangeOf(const version::Configuration& configuration,
-                                 const common::FailureDomainId& domain) {
-  RateSlotLease::SlotRange range;
+RateSlotLeaseManager::SlotRange RangeOf(
+    const version::Configuration& configuration,
+    const common::FailureDomainId& domain) {
+  RateSlotLeaseManager::SlotRange range;
   for (const auto& [id, declared] : configuration.domains) {
     if (id == domain) {
       range.count = declared.rate_slots;
@@ -36,10 +37,11 @@
 
 }  // namespace
 
-RateTask::RateTask(connection::EventLoop* loop, connection::ObjectStore* store,
-                   PeerLink* peers, EventLog* events, Counters* counters,
-                   common::HostId host, std::uint64_t incarnation,
-                   common::FailureDomainId domain)
+RateLimitTask::RateLimitTask(connection::EventLoop* loop,
+                             connection::ObjectStore* store, PeerClient* peers,
+                             EventLog* events, Counters* counters,
+                             common::HostId host, std::uint64_t incarnation,
+                             common::FailureDomainId domain)
     : loop(loop),
       store(store),
       peers(peers),
@@ -52,18 +54,19 @@
   this->tick = loop->Every(kTickInterval, [this] { this->OnTick(); });
 }
 
-void RateTask::SetConfiguration(version::ConfigurationPointer configuration) {
+void RateLimitTask::SetConfiguration(
+    version::ConfigurationPointer configuration) {
   this->configuration = std::move(configuration);
   this->total_slots = TotalSlots(*this->configuration);
-  const RateSlotLease::SlotRange wanted =
+  const RateSlotLeaseManager::SlotRange wanted =
       RangeOf(*this->configuration, this->domain);
   const bool same_range =
       wanted.first == this->range.first && wanted.count == this->range.count;
   if (this->lease == nullptr || !same_range) {
     // Slot numbers changed, so the leases start again under the new numbers.
     this->range = wanted;
-    this->lease = std::make_unique<RateSlotLease>(this->host, this->incarnation,
-                                                  this->range);
+    this->lease = std::make_unique<RateSlotLeaseManager>(
+        this->host, this->incarnation, this->range);
     this->lease->SetHosts(this->domain_hosts);
     this->shares.clear();
   }
@@ -72,12 +75,12 @@
   });
   for (const auto& [id, workspace] : this->configuration->workspaces) {
     const RateLimits limits{workspace.rate, workspace.burst, this->total_slots};
-    std::unique_ptr<RateShare>& share = this->shares[id];
+    std::unique_ptr<LocalRateLimiter>& share = this->shares[id];
     if (share != nullptr) {
       share->SetLimits(limits, common::SteadyNow());
       continue;
     }
-    share = std::make_unique<RateShare>(limits, common::SteadyNow());
+    share = std::make_unique<LocalRateLimiter>(limits, common::SteadyNow());
     for (const auto& [slot, end] :
          this->lease->HeldSlots(common::SteadyNow())) {
       share->AddSlot(slot, end, common::SteadyNow());
@@ -85,27 +88,27 @@
   }
 }
 
-void RateTask::SetDomainHosts(const std::set<common::HostId>& hosts) {
+void RateLimitTask::SetDomainHosts(const std::set<common::HostId>& hosts) {
   this->domain_hosts = hosts;
   if (this->lease != nullptr) this->lease->SetHosts(hosts);
 }
 
-void RateTask::SetLenders(std::vector<common::HostId> lenders) {
+void RateLimitTask::SetLenders(std::vector<common::HostId> lenders) {
   this->lenders = std::move(lenders);
 }
 
-Admission RateTask::Admit(const common::WorkspaceId& workspace,
-                          Attempt attempt) {
-  RateShare* share = this->ShareOf(workspace);
+Admission RateLimitTask::Admit(const common::WorkspaceId& workspace,
+                               Attempt attempt) {
+  LocalRateLimiter* share = this->ShareOf(workspace);
   if (share == nullptr) return Refused{std::chrono::seconds(1)};
   const Admission admission = share->Admit(common::SteadyNow(), attempt);
   this->BorrowIfNeeded(workspace, share);
   return admission;
 }
 
-PeerRateLoan RateTask::Lend(const common::WorkspaceId& workspace,
-                            Millitokens wanted) {
-  RateShare* share = this->ShareOf(workspace);
+PeerRateLoan RateLimitTask::Lend(const common::WorkspaceId& workspace,
+                                 Millitokens wanted) {
+  LocalRateLimiter* share = this->ShareOf(workspace);
   if (share == nullptr) return {};
   const RateLoan loan = share->Lend(wanted, common::SteadyNow());
   if (loan.Empty()) return {};
@@ -115,7 +118,7 @@
           static_cast<std::uint64_t>(loan.level), loan.length};
 }
 
-void RateTask::Drain(common::Duration limit, std::function<void()> done) {
+void RateLimitTask::Drain(common::Duration limit, std::function<void()> done) {
   if (this->lease == nullptr) {
     done();
     return;
@@ -126,25 +129,25 @@
   if (this->lease->Drained()) this->FinishDrain();
 }
 
-std::size_t RateTask::HeldSlots() const {
+std::size_t RateLimitTask::HeldSlots() const {
   return this->lease == nullptr
              ? 0
              : this->lease->HeldSlots(common::SteadyNow()).size();
 }
 
-void RateTask::OnTick() {
+void RateLimitTask::OnTick() {
   if (this->lease == nullptr || common::SteadyNow() < this->take_from) return;
   this->Perform(this->lease->Tick(common::SteadyNow()));
   if (this->drain_done && this->lease->Drained()) this->FinishDrain();
 }
 
-void RateTask::Perform(const SlotActions& actions) {
+void RateLimitTask::Perform(const SlotActions& actions) {
   for (const SlotAction& action : actions) {
     std::visit([this](const auto& typed) { this->Perform(typed); }, action);
   }
 }
 
-void RateTask::Perform(const ReadSlots& /*action*/) {
+void RateLimitTask::Perform(const ReadSlots& /*action*/) {
   const common::SteadyTime sent = common::SteadyNow();
   this->store->Read(
       "rates/" + this->domain.Value(),
@@ -167,7 +170,7 @@
       });
 }
 
-void RateTask::Perform(const UpdateSlots& action) {
+void RateLimitTask::Perform(const UpdateSlots& action) {
   this->store->Write(
       "rates/" + this->domain.Value(), action.if_version, action.content,
       [this,
@@ -190,7 +193,7 @@
       });
 }
 
-void RateTask::Perform(const UseSlot& action) {
+void RateLimitTask::Perform(const UseSlot& action) {
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "rate_slot_taken", {{"slot", action.slot}});
   for (const auto& [id, share] : this->shares) {
@@ -198,13 +201,13 @@
   }
 }
 
-void RateTask::Perform(const ExtendSlot& action) {
+void RateLimitTask::Perform(const ExtendSlot& action) {
   for (const auto& [id, share] : this->shares) {
     share->RenewSlot(action.slot, action.lease_end, common::SteadyNow());
   }
 }
 
-void RateTask::Perform(const StopSlot& action) {
+void RateLimitTask::Perform(const StopSlot& action) {
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "rate_slot_stopped", {{"slot", action.slot}});
   for (const auto& [id, share] : this->shares) {
@@ -212,17 +215,18 @@
   }
 }
 
-RateShare* RateTask::ShareOf(const common::WorkspaceId& workspace) {
+LocalRateLimiter* RateLimitTask::ShareOf(const common::WorkspaceId& workspace) {
   const auto found = this->shares.find(workspace);
   return found == this->shares.end() ? nullptr : found->second.get();
 }
 
-void RateTask::BorrowIfNeeded(const common::WorkspaceId& workspace,
-                              RateShare* share) {
+void RateLimitTask::BorrowIfNeeded(const common::WorkspaceId& workspace,
+                                   LocalRateLimiter* share) {
   const common::SteadyTime asked_at = common::SteadyNow();
-  LenderChoice& choice = this->lender_choices[workspace];
+  LenderSelector& choice = this->lender_choices[workspace];
   if (this->lenders.empty()) return;
-  const std::optional<BorrowRequest> wanted = share->NextBorrow(asked_at);
+  const std::optional<BorrowRequest> wanted =
+      share->NextBorrowRequest(asked_at);
   if (!wanted) return;
   const std::optional<common::HostId> lender =
       choice.Next(this->lenders, asked_at);
@@ -236,19 +240,20 @@
       });
 }
 
-void RateTask::OnLoan(const common::WorkspaceId& workspace,
-                      common::SteadyTime asked_at, const common::HostId& lender,
-                      const PeerRateLoan& answer) {
+void RateLimitTask::OnLoan(const common::WorkspaceId& workspace,
+                           common::SteadyTime asked_at,
+                           const common::HostId& lender,
+                           const PeerRateLoan& answer) {
   const RateLoan loan{static_cast<Millitokens>(answer.rate),
                       static_cast<Millitokens>(answer.capacity),
                       static_cast<Millitokens>(answer.level), answer.length};
   this->lender_choices[workspace].OnAnswer(lender, loan, common::SteadyNow());
-  RateShare* borrower = this->ShareOf(workspace);
+  LocalRateLimiter* borrower = this->ShareOf(workspace);
   if (borrower == nullptr) return;
-  borrower->Borrow(asked_at, loan, common::SteadyNow());
+  borrower->AcceptLoan(asked_at, loan, common::SteadyNow());
 }
 
-void RateTask::FinishDrain() {
+void RateLimitTask::FinishDrain() {
   this->drain_limit.reset();
   const std::function<void()> done = std::exchange(this->drain_done, nullptr);
   if (done) done();
--- a/Source/Core/Process/rate_task.h
+++ b/Source/Core/Process/rate_limit_task.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_RATE_TASK_H_
-#define CAMPHORFERRY_PROCESS_RATE_TASK_H_
+#ifndef CAMPHORFERRY_PROCESS_RATE_LIMIT_TASK_H_
+#define CAMPHORFERRY_PROCESS_RATE_LIMIT_TASK_H_
 
 #include <functional>
 #include <map>
@@ -10,22 +10,22 @@
 
 #include "Process/counters.h"
 #include "Process/event_log.h"
-#include "Process/lender_choice.h"
-#include "Process/peer_link.h"
-#include "Process/rate_share.h"
-#include "Process/rate_slot_lease.h"
+#include "Process/lender_selector.h"
+#include "Process/local_rate_limiter.h"
+#include "Process/peer_client.h"
+#include "Process/rate_slot_lease_manager.h"
 #include "Version/version.h"
 
 namespace camphorferry::process {
 
 /// Enforces the workspaces' rates at this daemon: holds rate slots through the
 /// store, and borrows from peers when a workspace runs dry here.
-class RateTask {
+class RateLimitTask {
  public:
-  RateTask(connection::EventLoop* loop, connection::ObjectStore* store,
-           PeerLink* peers, EventLog* events, Counters* counters,
-           common::HostId host, std::uint64_t incarnation,
-           common::FailureDomainId domain);
+  RateLimitTask(connection::EventLoop* loop, connection::ObjectStore* store,
+                PeerClient* peers, EventLog* events, Counters* counters,
+                common::HostId host, std::uint64_t incarnation,
+                common::FailureDomainId domain);
 
   void SetConfiguration(version::ConfigurationPointer configuration);
 
@@ -60,15 +60,16 @@
   void Perform(const UseSlot& action);
   void Perform(const ExtendSlot& action);
   void Perform(const StopSlot& action);
-  RateShare* ShareOf(const common::WorkspaceId& workspace);
-  void BorrowIfNeeded(const common::WorkspaceId& workspace, RateShare* share);
+  LocalRateLimiter* ShareOf(const common::WorkspaceId& workspace);
+  void BorrowIfNeeded(const common::WorkspaceId& workspace,
+                      LocalRateLimiter* share);
   void OnLoan(const common::WorkspaceId& workspace, common::SteadyTime asked_at,
               const common::HostId& lender, const PeerRateLoan& answer);
   void FinishDrain();
 
   connection::EventLoop* loop;
   connection::ObjectStore* store;
-  PeerLink* peers;
+  PeerClient* peers;
   EventLog* events;
   Counters* counters;
   common::HostId host;
@@ -79,12 +80,12 @@
   /// No slot is taken before this time.
   common::SteadyTime take_from;
   bool started = false;
-  RateSlotLease::SlotRange range;
-  std::unique_ptr<RateSlotLease> lease;
+  RateSlotLeaseManager::SlotRange range;
+  std::unique_ptr<RateSlotLeaseManager> lease;
   std::set<common::HostId> domain_hosts;
   std::vector<common::HostId> lenders;
-  std::map<common::WorkspaceId, LenderChoice> lender_choices;
-  std::map<common::WorkspaceId, std::unique_ptr<RateShare>> shares;
+  std::map<common::WorkspaceId, LenderSelector> lender_choices;
+  std::map<common::WorkspaceId, std::unique_ptr<LocalRateLimiter>> shares;
   std::unique_ptr<connection::Timer> tick;
   std::unique_ptr<connection::Timer> drain_limit;
   std::function<void()> drain_done;
@@ -92,4 +93,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_RATE_TASK_H_
+#endif  // CAMPHORFERRY_PROCESS_RATE_LIMIT_TASK_H_
--- a/Source/Core/Process/rate_slot_lease.cc
+++ b/Source/Core/Process/rate_slot_lease_manager.cc
@@ -1,4 +1,4 @@
-#include "Process/rate_slot_lease.h"
+#include "Process/rate_slot_lease_manager.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -80,25 +80,26 @@
   return json{{"slots", std::move(slots)}}.dump();
 }
 
-RateSlotLease::RateSlotLease(HostId host, Incarnation incarnation,
-                             SlotRange range)
-    : RateSlotLease(std::move(host), incarnation, range, Policy()) {}
+RateSlotLeaseManager::RateSlotLeaseManager(HostId host, Incarnation incarnation,
+                                           SlotRange range)
+    : RateSlotLeaseManager(std::move(host), incarnation, range, Policy()) {}
 
-RateSlotLease::RateSlotLease(HostId host, Incarnation incarnation,
-                             SlotRange range, const Policy& policy)
+RateSlotLeaseManager::RateSlotLeaseManager(HostId host, Incarnation incarnation,
+                                           SlotRange range,
+                                           const Policy& policy)
     : host(std::move(host)),
       incarnation(incarnation),
       range(range),
       policy(policy),
       hosts({this->host}) {}
 
-void RateSlotLease::SetHosts(std::set<HostId> live) {
+void RateSlotLeaseManager::SetHosts(std::set<HostId> live) {
   this->hosts = std::move(live);
   // The list lags and may not contain this daemon yet.
   this->hosts.insert(this->host);
 }
 
-SlotActions RateSlotLease::Tick(SteadyTime now) {
+SlotActions RateSlotLeaseManager::Tick(SteadyTime now) {
   this->DropEnded(now);
   if (this->call != Call::kNone || now < this->next_read || this->Drained()) {
     return {};
@@ -107,9 +108,9 @@
   return {ReadSlots{}};
 }
 
-SlotActions RateSlotLease::OnRead(ObjectVersion version,
-                                  const std::string& content, SteadyTime sent,
-                                  SteadyTime answered) {
+SlotActions RateSlotLeaseManager::OnRead(ObjectVersion version,
+                                         const std::string& content,
+                                         SteadyTime sent, SteadyTime answered) {
   this->call = Call::kNone;
   this->DropEnded(answered);
   SlotDocument read(this->range.count);
@@ -143,15 +144,15 @@
   return actions;
 }
 
-SlotActions RateSlotLease::OnReadFailed(SteadyTime now) {
+SlotActions RateSlotLeaseManager::OnReadFailed(SteadyTime now) {
   this->call = Call::kNone;
   this->DropEnded(now);
   this->ScheduleRetry(now);
   return {};
 }
 
-SlotActions RateSlotLease::OnUpdated(ObjectVersion /*version*/,
-                                     SteadyTime now) {
+SlotActions RateSlotLeaseManager::OnUpdated(ObjectVersion /*version*/,
+                                            SteadyTime now) {
   this->call = Call::kNone;
   this->DropEnded(now);
   this->failures = 0;
@@ -163,16 +164,16 @@
   return actions;
 }
 
-SlotActions RateSlotLease::OnUpdateConflicted(SteadyTime now) {
+SlotActions RateSlotLeaseManager::OnUpdateConflicted(SteadyTime now) {
   return this->OnReadFailed(now);
 }
 
-SlotActions RateSlotLease::OnUpdateAnswerLost(SteadyTime now) {
+SlotActions RateSlotLeaseManager::OnUpdateAnswerLost(SteadyTime now) {
   this->document_known = false;
   return this->OnReadFailed(now);
 }
 
-SlotActions RateSlotLease::Drain(SteadyTime now) {
+SlotActions RateSlotLeaseManager::Drain(SteadyTime now) {
   this->DropEnded(now);
   SlotActions actions;
   this->draining = true;
@@ -183,14 +184,14 @@
   return actions;
 }
 
-bool RateSlotLease::Drained() const {
+bool RateSlotLeaseManager::Drained() const {
   if (!this->draining || this->call == Call::kUpdate) {
     return false;
   }
   return this->document_known && this->OwnCount(this->document) == 0;
 }
 
-std::map<RateSlotNumber, SteadyTime> RateSlotLease::HeldSlots(
+std::map<RateSlotNumber, SteadyTime> RateSlotLeaseManager::HeldSlots(
     SteadyTime now) const {
   std::map<RateSlotNumber, SteadyTime> slots;
   for (const auto& [index, lease] : this->held) {
@@ -201,13 +202,14 @@
   return slots;
 }
 
-bool RateSlotLease::IsOwn(const std::optional<SlotRecord>& record) const {
+bool RateSlotLeaseManager::IsOwn(
+    const std::optional<SlotRecord>& record) const {
   return record && record->holder == this->host &&
          record->incarnation == this->incarnation;
 }
 
-void RateSlotLease::Learn(const SlotDocument& read, SteadyTime sent,
-                          SteadyTime now, SlotActions* actions) {
+void RateSlotLeaseManager::Learn(const SlotDocument& read, SteadyTime sent,
+                                 SteadyTime now, SlotActions* actions) {
   for (std::uint32_t index = 0; index < read.size(); ++index) {
     const std::optional<SlotRecord>& record = read[index];
     if (this->IsOwn(record)) {
@@ -222,8 +224,9 @@
 
 /// The record names the write that made it, so the lease counts from when that
 /// write was sent, also if its answer was lost.
-void RateSlotLease::LearnOwn(std::uint32_t index, const SlotRecord& record,
-                             SteadyTime now, SlotActions* actions) {
+void RateSlotLeaseManager::LearnOwn(std::uint32_t index,
+                                    const SlotRecord& record, SteadyTime now,
+                                    SlotActions* actions) {
   this->observed.erase(index);
   const auto written = this->write_times.find(record.renewals);
   if (this->stopped.contains(index) || this->draining ||
@@ -231,7 +234,7 @@
     return;
   }
   const SteadyTime start = written->second;
-  const SteadyTime end = start + UserPeriod(kSlotLeaseLength);
+  const SteadyTime end = start + HolderPeriod(kSlotLeaseDuration);
   if (end <= now) {
     return;
   }
@@ -245,10 +248,10 @@
   this->held[index] = Held{start, end};
 }
 
-void RateSlotLease::LearnForeign(std::uint32_t index,
-                                 const std::optional<SlotRecord>& record,
-                                 SteadyTime sent, SteadyTime now,
-                                 SlotActions* actions) {
+void RateSlotLeaseManager::LearnForeign(std::uint32_t index,
+                                        const std::optional<SlotRecord>& record,
+                                        SteadyTime sent, SteadyTime now,
+                                        SlotActions* actions) {
   if (this->held.erase(index) > 0) {
     actions->emplace_back(StopSlot{this->range.first + index});
   }
@@ -261,8 +264,8 @@
   this->observed[index] = Observed{record, now, sent};
 }
 
-void RateSlotLease::Stop(std::uint32_t index, SteadyTime now,
-                         SlotActions* actions) {
+void RateSlotLeaseManager::Stop(std::uint32_t index, SteadyTime now,
+                                SlotActions* actions) {
   this->held.erase(index);
   this->stopped[index] = now;
   actions->emplace_back(StopSlot{this->range.first + index});
@@ -271,7 +274,7 @@
 /// Stops using slots that others need more. Of what the daemons below the base
 /// number miss, this daemon gives the part that it has of all slots above the
 /// base number, so that several daemons together do not give too much.
-void RateSlotLease::GiveBack(SteadyTime now, SlotActions* actions) {
+void RateSlotLeaseManager::GiveBack(SteadyTime now, SlotActions* actions) {
   if (this->draining || !this->stopped.empty()) {
     return;
   }
@@ -306,7 +309,7 @@
 }
 
 /// The document that this daemon wants, if it differs from the one read.
-std::optional<SlotDocument> RateSlotLease::Change(SteadyTime now) {
+std::optional<SlotDocument> RateSlotLeaseManager::Change(SteadyTime now) {
   ++this->writes;
   SlotDocument next = this->document;
   this->Release(&next, now);
@@ -322,7 +325,7 @@
 
 /// Frees the slots that are no longer used, once the loans given from them have
 /// ended.
-void RateSlotLease::Release(SlotDocument* next, SteadyTime now) const {
+void RateSlotLeaseManager::Release(SlotDocument* next, SteadyTime now) const {
   for (std::uint32_t index = 0; index < next->size(); ++index) {
     if (!this->IsOwn((*next)[index])) {
       continue;
@@ -330,8 +333,9 @@
     const auto since = this->stopped.find(index);
     const bool unused = since == this->stopped.end() &&
                         !this->held.contains(index) && this->draining;
-    const bool loans_ended = since != this->stopped.end() &&
-                             now >= since->second + GiverWait(kLoanLength);
+    const bool loans_ended =
+        since != this->stopped.end() &&
+        now >= since->second + GrantorPeriod(kLoanDuration);
     if (unused || loans_ended) {
       (*next)[index].reset();
     }
@@ -339,7 +343,7 @@
 }
 
 /// Renews all own slots at once if one of them is due.
-void RateSlotLease::Renew(SlotDocument* next, SteadyTime now) const {
+void RateSlotLeaseManager::Renew(SlotDocument* next, SteadyTime now) const {
   bool due = false;
   for (std::uint32_t index = 0; index < next->size(); ++index) {
     if (!this->IsOwn((*next)[index]) || this->stopped.contains(index)) {
@@ -359,7 +363,7 @@
   }
 }
 
-void RateSlotLease::Take(SlotDocument* next) const {
+void RateSlotLeaseManager::Take(SlotDocument* next) const {
   std::uint32_t own = this->OwnCount(*next);
   for (std::uint32_t index = 0; index < next->size(); ++index) {
     const bool below_base = own < this->BaseNumber();
@@ -381,7 +385,7 @@
 /// Only the time between reads that showed the same record counts: what
 /// happened while this daemon did not look, for example while it was paused,
 /// is not known before the next read.
-bool RateSlotLease::MayTake(std::uint32_t index, Duration grace) const {
+bool RateSlotLeaseManager::MayTake(std::uint32_t index, Duration grace) const {
   const auto known = this->observed.find(index);
   if (known == this->observed.end()) {
     return false;
@@ -394,35 +398,35 @@
   if (!this->policy.wait_for_lease) {
     return true;
   }
-  return unchanged >= GiverWait(kSlotLeaseLength) + grace;
+  return unchanged >= GrantorPeriod(kSlotLeaseDuration) + grace;
 }
 
-std::uint32_t RateSlotLease::CountOf(const SlotDocument& slots,
-                                     const HostId& of) const {
+std::uint32_t RateSlotLeaseManager::CountOf(const SlotDocument& slots,
+                                            const HostId& of) const {
   return static_cast<std::uint32_t>(std::count_if(
       slots.begin(), slots.end(),
       [&of](const auto& record) { return record && record->holder == of; }));
 }
 
-std::uint32_t RateSlotLease::OwnCount(const SlotDocument& slots) const {
+std::uint32_t RateSlotLeaseManager::OwnCount(const SlotDocument& slots) const {
   return static_cast<std::uint32_t>(std::count_if(
       slots.begin(), slots.end(),
       [this](const auto& record) { return this->IsOwn(record); }));
 }
 
 /// Number of slots that every daemon can have, one at least.
-std::uint32_t RateSlotLease::BaseNumber() const {
+std::uint32_t RateSlotLeaseManager::BaseNumber() const {
   const auto daemons = static_cast<std::uint32_t>(this->hosts.size());
   return std::max<std::uint32_t>(1, this->range.count / daemons);
 }
 
 /// Number of slots at which all slots are held when all daemons have it.
-std::uint32_t RateSlotLease::FairNumber() const {
+std::uint32_t RateSlotLeaseManager::FairNumber() const {
   const auto daemons = static_cast<std::uint32_t>(this->hosts.size());
   return (this->range.count + daemons - 1) / daemons;
 }
 
-void RateSlotLease::Schedule(SteadyTime now) {
+void RateSlotLeaseManager::Schedule(SteadyTime now) {
   const bool wants = this->OwnCount(this->document) < this->BaseNumber();
   this->next_read = now + (wants ? kWantingReadInterval : kReadInterval);
   for (const auto& [index, lease] : this->held) {
@@ -430,24 +434,25 @@
         std::min(this->next_read, lease.start + kSlotRenewalInterval);
   }
   for (const auto& [index, since] : this->stopped) {
-    this->next_read = std::min(this->next_read, since + GiverWait(kLoanLength));
+    this->next_read =
+        std::min(this->next_read, since + GrantorPeriod(kLoanDuration));
   }
   this->next_read = std::max(this->next_read, now);
 }
 
-void RateSlotLease::ScheduleRetry(SteadyTime now) {
+void RateSlotLeaseManager::ScheduleRetry(SteadyTime now) {
   const std::uint32_t doublings = std::min<std::uint32_t>(this->failures, 10);
   const Duration wait = std::min(kFirstRetry * (1 << doublings), kLongestRetry);
   ++this->failures;
   this->next_read = now + Spread(wait, this->host, this->failures);
 }
 
-void RateSlotLease::DropEnded(SteadyTime now) {
+void RateSlotLeaseManager::DropEnded(SteadyTime now) {
   std::erase_if(this->held,
                 [now](const auto& slot) { return slot.second.end <= now; });
   std::erase_if(this->write_times, [this, now](const auto& write) {
     return write.first != this->writes &&
-           write.second + kSlotLeaseLength <= now;
+           write.second + kSlotLeaseDuration <= now;
   });
 }
 
--- a/Source/Core/Process/rate_slot_lease.h
+++ b/Source/Core/Process/rate_slot_lease_manager.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_RATE_SLOT_LEASE_H_
-#define CAMPHORFERRY_PROCESS_RATE_SLOT_LEASE_H_
+#ifndef CAMPHORFERRY_PROCESS_RATE_SLOT_LEASE_MANAGER_H_
+#define CAMPHORFERRY_PROCESS_RATE_SLOT_LEASE_MANAGER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "Common/common.h"
-#include "Process/rate_share.h"
+#include "Process/local_rate_limiter.h"
 
 namespace camphorferry::process {
 
@@ -89,7 +89,7 @@
 /// Holds and takes rate slots of one failure domain for one daemon. At most one
 /// call to the store is open at a time; the caller reports its end with exactly
 /// one event. Actions are to be carried out in order and before the next event.
-class RateSlotLease {
+class RateSlotLeaseManager {
  public:
   /// Switches that break the rules, for tests of the checks themselves.
   struct Policy {
@@ -103,9 +103,10 @@
     std::uint32_t count = 0;
   };
 
-  RateSlotLease(common::HostId host, Incarnation incarnation, SlotRange range);
-  RateSlotLease(common::HostId host, Incarnation incarnation, SlotRange range,
-                const Policy& policy);
+  RateSlotLeaseManager(common::HostId host, Incarnation incarnation,
+                       SlotRange range);
+  RateSlotLeaseManager(common::HostId host, Incarnation incarnation,
+                       SlotRange range, const Policy& policy);
 
   /// Live hosts of the domain by the platform's list; without leaving ones.
   void SetHosts(std::set<common::HostId> live);
@@ -212,4 +213,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_RATE_SLOT_LEASE_H_
+#endif  // CAMPHORFERRY_PROCESS_RATE_SLOT_LEASE_MANAGER_H_
--- a/Source/Core/Process/request_context.h
+++ b/Source/Core/Process/request_context.h
@@ -9,7 +9,7 @@
 #include "Process/counters.h"
 #include "Process/endpoint_directory.h"
 #include "Process/primary_directory.h"
-#include "Process/rate_task.h"
+#include "Process/rate_limit_task.h"
 #include "Process/statement_router.h"
 #include "Request/request.h"
 #include "Version/version.h"
@@ -20,7 +20,7 @@
 /// configuration and keys change with each version.
 struct RequestContext {
   connection::EventLoop* loop = nullptr;
-  RateTask* rates = nullptr;
+  RateLimitTask* rates = nullptr;
   PrimaryDirectory* primaries = nullptr;
   EndpointDirectory endpoints;
   StatementRouter* router = nullptr;
--- a/Source/Core/Process/request_task.cc
+++ b/Source/Core/Process/request_task.cc
@@ -115,7 +115,7 @@
     return;
   }
   this->context->loop->RunLater(wait, [self = this->shared_from_this()] {
-    self->TakeToken(Attempt::kRepeated);
+    self->TakeToken(Attempt::kRetry);
   });
 }
 
--- a/Source/Core/Process/statement_router.cc
+++ b/Source/Core/Process/statement_router.cc
@@ -6,8 +6,8 @@
 
 StatementRouter::StatementRouter(connection::EventLoop* loop,
                                  common::HostId self,
-                                 const Membership* membership, PeerLink* peers,
-                                 Counters* counters)
+                                 const Membership* membership,
+                                 PeerClient* peers, Counters* counters)
     : loop(loop),
       self(std::move(self)),
       membership(membership),
@@ -25,7 +25,7 @@
 }
 
 void StatementRouter::Execute(const connection::StatementCall& call,
-                              EndpointTask::Callback done) {
+                              EndpointPool::Callback done) {
   const common::HostId owner_host = this->OwnerOf(call.endpoint);
   if (owner_host.Empty()) {
     this->loop->Post([done = std::move(done)] {
@@ -47,7 +47,7 @@
 void StatementRouter::Confirm(const common::EndpointId& endpoint,
                               common::LogPosition position,
                               common::Duration wait,
-                              ConfirmBatch::Callback done) {
+                              ConfirmBatcher::Callback done) {
   const common::HostId owner_host = this->OwnerOf(endpoint);
   if (owner_host.Empty()) {
     this->loop->Post(
--- a/Source/Core/Process/statement_router.h
+++ b/Source/Core/Process/statement_router.h
@@ -5,7 +5,7 @@
 
 #include "Process/endpoint_owner.h"
 #include "Process/membership.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "Version/version.h"
 
 namespace camphorferry::process {
@@ -15,7 +15,7 @@
 class StatementRouter {
  public:
   StatementRouter(connection::EventLoop* loop, common::HostId self,
-                  const Membership* membership, PeerLink* peers,
+                  const Membership* membership, PeerClient* peers,
                   Counters* counters);
 
   /// The part that serves the endpoints owned here; set once at the start.
@@ -25,11 +25,11 @@
 
   /// Runs a statement; the callback is called once.
   void Execute(const connection::StatementCall& call,
-               EndpointTask::Callback done);
+               EndpointPool::Callback done);
 
   /// Asks whether an endpoint holds an entry.
   void Confirm(const common::EndpointId& endpoint, common::LogPosition position,
-               common::Duration wait, ConfirmBatch::Callback done);
+               common::Duration wait, ConfirmBatcher::Callback done);
 
   /// Daemon that owns the endpoint's connections; empty if none is known.
   common::HostId OwnerOf(const common::EndpointId& endpoint) const;
@@ -38,7 +38,7 @@
   connection::EventLoop* loop;
   common::HostId self;
   const Membership* membership;
-  PeerLink* peers;
+  PeerClient* peers;
   Counters* counters;
   EndpointOwner* owner = nullptr;
   std::map<common::EndpointId, common::FailureDomainId> endpoint_domains;
--- a/Source/UnitTests/Core/Process/acknowledgement_rule_test.cc
+++ b/Source/UnitTests/Core/Process/acknowledgement_tracker_test.cc
@@ -12,15 +12,15 @@
 using common::EndpointId;
 using std::chrono::milliseconds;
 
-class AcknowledgementRuleTest : public testing::Test {
+class AcknowledgementTrackerTest : public testing::Test {
  protected:
-  AcknowledgementRule MakeRule(AcknowledgementPolicy policy = {}) {
-    return AcknowledgementRule({a, 3, {3, 7}}, {a, b, c},
-                               this->now + milliseconds(1000), policy);
+  AcknowledgementTracker MakeRule(AcknowledgementPolicy policy = {}) {
+    return AcknowledgementTracker({a, 3, {3, 7}}, {a, b, c},
+                                  this->now + milliseconds(1000), policy);
   }
 
   static EndpointId Asked(const AcknowledgementDecision& decision) {
-    const auto* ask = std::get_if<AskReplica>(&decision);
+    const auto* ask = std::get_if<RequestConfirmation>(&decision);
     return ask == nullptr ? EndpointId() : ask->endpoint;
   }
 
@@ -32,9 +32,9 @@
 
 // Guards against acknowledgements that no second database backs, and against
 // ones that a promotion has already overtaken.
-RC_GTEST_FIXTURE_PROP(AcknowledgementRuleTest, AnyReplies_Handle_NeedsCopy,
+RC_GTEST_FIXTURE_PROP(AcknowledgementTrackerTest, AnyReplies_Handle_NeedsCopy,
                       ()) {
-  AcknowledgementRule rule = this->MakeRule();
+  AcknowledgementTracker rule = this->MakeRule();
   rule.Start(this->now);
   bool backed = false;
   const int steps = *rc::gen::inRange(1, 20);
@@ -55,8 +55,8 @@
 }
 
 // Guards against writes that stay unconfirmed because one replica is silent.
-TEST_F(AcknowledgementRuleTest, SilentReplica_Tick_AsksTheOther) {
-  AcknowledgementRule rule = this->MakeRule();
+TEST_F(AcknowledgementTrackerTest, SilentReplica_Tick_AsksTheOther) {
+  AcknowledgementTracker rule = this->MakeRule();
   EXPECT_EQ(this->Asked(rule.Start(this->now)), this->b);
   this->now += milliseconds(100);
   EXPECT_EQ(this->Asked(rule.Handle(AcknowledgementTick{}, this->now)),
@@ -66,8 +66,8 @@
 }
 
 // Guards against a lagging or lost replica that ends the attempt early.
-TEST_F(AcknowledgementRuleTest, ReplicaLacksEntry_Handle_AsksTheOther) {
-  AcknowledgementRule rule = this->MakeRule();
+TEST_F(AcknowledgementTrackerTest, ReplicaLacksEntry_Handle_AsksTheOther) {
+  AcknowledgementTracker rule = this->MakeRule();
   rule.Start(this->now);
   EXPECT_EQ(this->Asked(rule.Handle(ConfirmReply{b, false, 3, {3, 5}}, now)),
             this->c);
@@ -79,8 +79,8 @@
 }
 
 // Guards against clients that wait for a primary that was already replaced.
-TEST_F(AcknowledgementRuleTest, AllFencedAbove_Handle_IsUnknownAtOnce) {
-  AcknowledgementRule rule = this->MakeRule();
+TEST_F(AcknowledgementTrackerTest, AllFencedAbove_Handle_IsUnknownAtOnce) {
+  AcknowledgementTracker rule = this->MakeRule();
   rule.Start(this->now);
   rule.Handle(ConfirmReply{b, true, 4, {3, 7}}, this->now);
   const auto decision = rule.Handle(ConfirmReply{c, true, 5, {3, 7}}, now);
@@ -89,8 +89,8 @@
 }
 
 // Guards against an unknown outcome that later turns into an acknowledgement.
-TEST_F(AcknowledgementRuleTest, DeadlinePassed_LateReply_StaysUnknown) {
-  AcknowledgementRule rule = this->MakeRule();
+TEST_F(AcknowledgementTrackerTest, DeadlinePassed_LateReply_StaysUnknown) {
+  AcknowledgementTracker rule = this->MakeRule();
   rule.Start(this->now);
   this->now += milliseconds(1000);
   const ConfirmReply late{b, true, 3, {3, 7}};
@@ -103,8 +103,8 @@
 
 // Guards against an entry of an older term that a later primary may replace
 // although two databases hold it.
-TEST_F(AcknowledgementRuleTest, OlderTermPosition_Start_IsUnknown) {
-  AcknowledgementRule rule({a, 3, {2, 7}}, {b, c}, now + milliseconds(1000));
+TEST_F(AcknowledgementTrackerTest, OlderTermPosition_Start_IsUnknown) {
+  AcknowledgementTracker rule({a, 3, {2, 7}}, {b, c}, now + milliseconds(1000));
   EXPECT_TRUE(std::holds_alternative<ReportUnknown>(rule.Start(this->now)));
 }
 
--- a/Source/UnitTests/Core/Process/failover_coordinator_test.cc
+++ b/Source/UnitTests/Core/Process/failover_coordinator_test.cc
@@ -47,14 +47,15 @@
     }
   }
 
-  void Collect(const SendStatus& poll) {
+  void Collect(const SendStatusPoll& poll) {
     if (this->silent.count(poll.endpoint) != 0) return;
     if (this->down.count(poll.endpoint) != 0) {
-      this->Send(StatusMissed{poll.endpoint, poll.request, MissKind::kRefused});
+      this->Send(
+          StatusFailed{poll.endpoint, poll.request, FailureKind::kRefused});
       return;
     }
-    this->Send(
-        StatusSeen{poll.endpoint, poll.request, this->statuses[poll.endpoint]});
+    this->Send(StatusReceived{poll.endpoint, poll.request,
+                              this->statuses[poll.endpoint]});
   }
   void Collect(const SendFence& fence) { this->fences.push_back(fence); }
   void Collect(const SendPromote& promote) {
@@ -150,7 +151,7 @@
   this->SetHealthyGroup();
   this->Run(kSettled);
   this->down.insert(this->a);
-  this->Send(StatusMissed{this->a, std::nullopt, MissKind::kRefused});
+  this->Send(StatusFailed{this->a, std::nullopt, FailureKind::kRefused});
   const auto fenced = [this] { return !this->fences.empty(); };
   EXPECT_LE(this->RunUntil(fenced), milliseconds(150));
 
--- a/Source/UnitTests/Core/Process/failover_world.h
+++ b/Source/UnitTests/Core/Process/failover_simulation.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_WORLD_H_
-#define CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_WORLD_H_
+#ifndef CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATION_H_
+#define CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATION_H_
 
 #include <algorithm>
 #include <array>
@@ -20,7 +20,7 @@
 
 /// Three databases and three daemons on a simulated network in virtual time.
 /// Records the first violation of an invariant.
-class FailoverWorld {
+class FailoverSimulation {
  public:
   static constexpr int kDatabases = 3;
   static constexpr int kDaemons = 3;
@@ -34,7 +34,7 @@
     unsigned seed = 1;
   };
 
-  explicit FailoverWorld(const Options& options)
+  explicit FailoverSimulation(const Options& options)
       : options(options), random(options.seed) {
     for (int i = 0; i < kDatabases; ++i) {
       this->databases.emplace_back(std::to_string(i));
@@ -207,7 +207,7 @@
     bool is_read = false;
     int retries = 0;
     bool finished = false;
-    std::optional<AcknowledgementRule> rule;
+    std::optional<AcknowledgementTracker> rule;
     common::Term term = 0;
     /// Highest term that any database was promoted for before the execution.
     common::Term promoted_before = 0;
@@ -309,12 +309,12 @@
   /// answer does at the daemon; an answer after the timeout still arrives.
   void Request(int daemon, int database,
                const std::function<std::function<void()>()>& serve,
-               const std::function<void(MissKind)>& failed,
+               const std::function<void(FailureKind)>& failed,
                common::Duration timeout) {
     const int incarnation = this->daemons[daemon].incarnation;
     const auto answered = std::make_shared<bool>(false);
     const int node = kDatabases + daemon;
-    const auto fail = [=, this](MissKind kind) {
+    const auto fail = [=, this](FailureKind kind) {
       this->AtDaemon(daemon, incarnation, [=] {
         if (!std::exchange(*answered, true)) failed(kind);
       });
@@ -331,9 +331,9 @@
     });
     if (this->down[database]) {
       this->SetTimer(daemon, std::chrono::milliseconds(1),
-                     [=] { fail(MissKind::kRefused); });
+                     [=] { fail(FailureKind::kRefused); });
     }
-    this->SetTimer(daemon, timeout, [=] { fail(MissKind::kTimedOut); });
+    this->SetTimer(daemon, timeout, [=] { fail(FailureKind::kTimedOut); });
   }
 
   /// Records a promotion.
@@ -393,7 +393,7 @@
   /// event that its answer becomes.
   void Ask(int daemon, const common::EndpointId& endpoint,
            const std::function<FailoverEvent(standins::DatabaseCore&)>& serve,
-           const std::function<FailoverEvent(MissKind)>& failed) {
+           const std::function<FailoverEvent(FailureKind)>& failed) {
     const int index = IndexOf(endpoint);
     this->Request(
         daemon, index,
@@ -401,25 +401,25 @@
           const FailoverEvent reply = serve(this->databases[index]);
           return [=, this] { this->Notify(daemon, reply); };
         },
-        [=, this](MissKind kind) { this->Notify(daemon, failed(kind)); },
+        [=, this](FailureKind kind) { this->Notify(daemon, failed(kind)); },
         kStatusTimeout);
   }
 
-  void Do(int daemon, const SendStatus& action) {
+  void Do(int daemon, const SendStatusPoll& action) {
     this->Ask(
         daemon, action.endpoint,
         [=, this](standins::DatabaseCore& database) {
           const auto seen = database.Status(this->now);
           const bool is_primary = seen.role == standins::DatabaseRole::kPrimary;
-          return StatusSeen{
+          return StatusReceived{
               action.endpoint, action.request,
               EndpointStatus{seen.term, seen.fence,
                              is_primary ? request::EndpointRole::kPrimary
                                         : request::EndpointRole::kReplica,
                              seen.position}};
         },
-        [=](MissKind kind) {
-          return StatusMissed{action.endpoint, action.request, kind};
+        [=](FailureKind kind) {
+          return StatusFailed{action.endpoint, action.request, kind};
         });
   }
 
@@ -432,7 +432,7 @@
           return FenceReply{action.endpoint, action.request,  result.granted,
                             result.fence,    result.proposer, result.position};
         },
-        [=](MissKind) {
+        [=](FailureKind) {
           return FenceFailed{action.endpoint, action.request};
         });
   }
@@ -446,7 +446,7 @@
           return PromoteReply{action.endpoint, action.request, action.term,
                               accepted};
         },
-        [=](MissKind) {
+        [=](FailureKind) {
           return PromoteFailed{action.endpoint, action.request};
         });
   }
@@ -460,7 +460,7 @@
           return FollowReply{action.endpoint, action.request, action.term,
                              accepted};
         },
-        [=](MissKind) {
+        [=](FailureKind) {
           return FollowFailed{action.endpoint, action.request};
         });
   }
@@ -496,7 +496,7 @@
             this->Executed(statement, index, *done);
           };
         },
-        [](MissKind) {}, kStatementDeadline);
+        [](FailureKind) {}, kStatementDeadline);
   }
 
   static standins::ExecuteRequest RequestOf(const Statement& statement,
@@ -520,8 +520,9 @@
     statement->term = done.term;
     statement->value = done.results.at(0).is_number() ? 1 : 0;
     statement->rule.emplace(
-        Execution{EndpointOf(index), done.term, done.position}, AllEndpoints(),
-        this->now + kStatementDeadline / 2, this->options.acknowledgement);
+        ExecutedStatement{EndpointOf(index), done.term, done.position},
+        AllEndpoints(), this->now + kStatementDeadline / 2,
+        this->options.acknowledgement);
     this->statements.push_back(statement);
     this->Carry(statement, statement->rule->Start(this->now));
   }
@@ -530,9 +531,9 @@
              const AcknowledgementDecision& decision) {
     if (statement->finished) return;
     if (std::holds_alternative<Acknowledge>(decision)) this->Finish(*statement);
-    const auto* ask = std::get_if<AskReplica>(&decision);
+    const auto* ask = std::get_if<RequestConfirmation>(&decision);
     if (ask == nullptr) return;
-    const AskReplica asked = *ask;
+    const RequestConfirmation asked = *ask;
     this->Request(
         statement->daemon, IndexOf(asked.endpoint),
         [=, this]() -> std::function<void()> {
@@ -544,7 +545,7 @@
             this->Carry(statement, statement->rule->Handle(reply, this->now));
           };
         },
-        [=, this](MissKind) {
+        [=, this](FailureKind) {
           this->Carry(statement, statement->rule->Handle(
                                      ConfirmFailed{asked.endpoint}, this->now));
         },
@@ -613,4 +614,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_WORLD_H_
+#endif  // CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATION_H_
--- a/Source/UnitTests/Core/Process/failover_stateful_test.cc
+++ b/Source/UnitTests/Core/Process/failover_stateful_test.cc
@@ -7,7 +7,7 @@
 #include <ostream>
 #include <string>
 
-#include "UnitTests/Core/Process/failover_world.h"
+#include "UnitTests/Core/Process/failover_simulation.h"
 
 namespace camphorferry::process {
 namespace {
@@ -46,7 +46,7 @@
 struct Model {};
 
 /// One fault or client action, followed by some time.
-class Step : public rc::state::Command<Model, FailoverWorld> {
+class Step : public rc::state::Command<Model, FailoverSimulation> {
  public:
   Step()
       : kind(*rc::gen::weightedElement<StepKind>({
@@ -76,7 +76,7 @@
         message(*rc::gen::inRange(0, 20)),
         time(*rc::gen::inRange(10, 1000)) {}
 
-  void run(const Model&, FailoverWorld& world) const override {
+  void run(const Model&, FailoverSimulation& world) const override {
     this->Apply(world);
     const bool long_step = this->kind == StepKind::kRun;
     world.Run(milliseconds(long_step ? this->time : this->time / 10));
@@ -90,7 +90,7 @@
   }
 
  private:
-  void Apply(FailoverWorld& world) const {
+  void Apply(FailoverSimulation& world) const {
     switch (this->kind) {
       case StepKind::kRun:
         return;
@@ -143,8 +143,8 @@
   int time;
 };
 
-FailoverWorld::Options AnyOptions() {
-  FailoverWorld::Options options;
+FailoverSimulation::Options AnyOptions() {
+  FailoverSimulation::Options options;
   options.start_with_primary = *rc::gen::arbitrary<bool>();
   options.seed = *rc::gen::inRange(1U, 1000U);
   return options;
@@ -156,11 +156,12 @@
 // reached.
 RC_GTEST_PROP(FailoverStatefulTest, AnyFaults_Settle_KeepsAcknowledgedWrites,
               ()) {
-  FailoverWorld world(AnyOptions());
+  FailoverSimulation world(AnyOptions());
   rc::state::check(Model{}, world, rc::state::gen::execOneOfWithArgs<Step>());
   const int choice = *rc::gen::inRange(0, 4);
-  world.Heal(choice < FailoverWorld::kDatabases ? std::make_optional(choice)
-                                                : std::nullopt);
+  world.Heal(choice < FailoverSimulation::kDatabases
+                 ? std::make_optional(choice)
+                 : std::nullopt);
   const common::SteadyTime start = world.Now();
   RC_ASSERT(world.Settle(kSettleLimit));
   world.CheckWrites();
@@ -174,15 +175,15 @@
  protected:
   /// Acknowledges writes while only one replica is up to date, kills the
   /// primary and returns what the oracle says after the failover.
-  static std::string KillPrimary(FailoverWorld::Options options,
+  static std::string KillPrimary(FailoverSimulation::Options options,
                                  bool replicate) {
-    FailoverWorld world(options);
+    FailoverSimulation world(options);
     world.Run(milliseconds(500));
     world.StopReplication(1, true);
     world.StopReplication(2, !replicate);
     world.Run(milliseconds(200));
     for (int i = 0; i < 5; ++i) {
-      world.Write(i % FailoverWorld::kDaemons);
+      world.Write(i % FailoverSimulation::kDaemons);
       world.Run(milliseconds(100));
     }
     world.StopDatabase(0, true);
@@ -194,7 +195,7 @@
   }
 
   /// Number of latency patterns in which the oracle reports a lost write.
-  static int CountLosses(FailoverWorld::Options options, bool replicate) {
+  static int CountLosses(FailoverSimulation::Options options, bool replicate) {
     int losses = 0;
     for (options.seed = 1; options.seed <= 20; ++options.seed) {
       const std::string violation = KillPrimary(options, replicate);
@@ -207,7 +208,7 @@
 // Guards against an oracle that misses the loss of writes that only the dead
 // primary had.
 TEST_F(FailoverScenarioTest, PrimaryAloneAcknowledges_Kill_LosesWrites) {
-  FailoverWorld::Options options;
+  FailoverSimulation::Options options;
   EXPECT_EQ(CountLosses(options, false), 0);
   options.acknowledgement.require_replica = false;
   EXPECT_EQ(CountLosses(options, false), 20);
@@ -216,7 +217,7 @@
 // Guards against an oracle that misses the promotion of a database that
 // lacks acknowledged writes.
 TEST_F(FailoverScenarioTest, AnyFencedPromoted_Kill_LosesWrites) {
-  FailoverWorld::Options options;
+  FailoverSimulation::Options options;
   EXPECT_EQ(CountLosses(options, true), 0);
   options.failover.promote_most_advanced = false;
   EXPECT_GT(CountLosses(options, true), 0);
@@ -224,7 +225,7 @@
 
 // Guards against a second failure that finds no coordinator ready.
 TEST_F(FailoverScenarioTest, PrimaryKilledTwice_Settle_PromotesTwice) {
-  FailoverWorld world({});
+  FailoverSimulation world({});
   for (common::Term term = 2; term <= 3; ++term) {
     world.Run(std::chrono::seconds(1));
     world.StopDatabase(*world.CurrentPrimary(), true);
@@ -238,8 +239,9 @@
 // Guards against daemons that each reach other databases and replace each
 // other's primary several times a second, which leaves no time for writes.
 TEST_F(FailoverScenarioTest, DisjointLinkCuts_LongRun_ChangesAreRare) {
-  FailoverWorld world({});
-  for (int i = 0; i < FailoverWorld::kDaemons; ++i) world.CutLink(i, i, true);
+  FailoverSimulation world({});
+  for (int i = 0; i < FailoverSimulation::kDaemons; ++i)
+    world.CutLink(i, i, true);
   world.Run(std::chrono::seconds(60));
   EXPECT_LE(world.HighestPromoted(), 30U);
 }
--- a/Source/UnitTests/Core/Process/membership_test.cc
+++ b/Source/UnitTests/Core/Process/membership_test.cc
@@ -72,7 +72,7 @@
           continue;
         }
         for (const HostId& target :
-             this->views[sender].HeartbeatTargets(this->now)) {
+             this->views[sender].StartHeartbeatRound(this->now)) {
           this->Exchange(sender, this->numbers.at(target));
         }
       }
@@ -132,7 +132,7 @@
                          {HostId("c"), DomainNumber(0)},
                          {HostId("d"), DomainNumber(1)}},
                         kStart);
-    this->view.HeartbeatTargets(kStart);
+    this->view.StartHeartbeatRound(kStart);
   }
 
   void Hear(const std::string& host, SteadyTime now,
@@ -148,7 +148,7 @@
   SteadyTime RunRounds(SteadyTime now, int rounds) {
     for (int round = 0; round < rounds; ++round) {
       now += kHeartbeatInterval;
-      this->view.HeartbeatTargets(now);
+      this->view.StartHeartbeatRound(now);
     }
     return now;
   }
@@ -183,7 +183,7 @@
   const SteadyTime next = now + milliseconds(300);
   later.age = milliseconds(200);
   this->Hear("b", next, PeerState::kLive, 1, {later});
-  this->view.HeartbeatTargets(next + milliseconds(400));
+  this->view.StartHeartbeatRound(next + milliseconds(400));
   EXPECT_TRUE(this->view.IsLive(HostId("c"), next + milliseconds(800)));
   EXPECT_FALSE(this->view.IsLive(HostId("c"), next + milliseconds(801)));
 }
@@ -218,7 +218,7 @@
   this->Hear("b", kStart);
   const SteadyTime resumed = kStart + seconds(30);
   EXPECT_TRUE(this->view.IsLive(HostId("b"), resumed));
-  this->view.HeartbeatTargets(resumed);
+  this->view.StartHeartbeatRound(resumed);
   EXPECT_TRUE(this->view.IsLive(HostId("b"), resumed));
   EXPECT_TRUE(this->view.Reports(DomainNumber(0), resumed).empty());
   const SteadyTime later = this->RunRounds(resumed, 3);
@@ -341,7 +341,7 @@
     Membership view(self, DomainNumber(0), 1, kStart);
     view.SetOwnState(PeerState::kLive);
     view.SetHosts(list, kStart);
-    for (const HostId& target : view.HeartbeatTargets(kStart)) {
+    for (const HostId& target : view.StartHeartbeatRound(kStart)) {
       const bool inside = std::any_of(
           list.begin(), list.begin() + static_cast<std::ptrdiff_t>(per_domain),
           [&](const ListedHost& entry) { return entry.host == target; });
--- a/Source/UnitTests/Core/Process/rate_fleet.h
+++ b/Source/UnitTests/Core/Process/rate_limit_simulation.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_FLEET_H_
-#define CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_FLEET_H_
+#ifndef CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATION_H_
+#define CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATION_H_
 
 #include <algorithm>
 #include <chrono>
@@ -29,7 +29,7 @@
 
 /// Daemons, a store and the network between them in virtual real time. Every
 /// daemon sees that time through a clock with a rate of its own.
-class RateFleet {
+class RateLimitSimulation {
  public:
   struct Options {
     std::uint32_t domains = 1;
@@ -39,11 +39,11 @@
     std::uint32_t burst = 12;
     /// Error of each daemon's clock rate; missing ones are exact.
     std::vector<std::int64_t> clock_ppm;
-    RateShare::Policy share;
-    RateSlotLease::Policy lease;
+    LocalRateLimiter::Policy share;
+    RateSlotLeaseManager::Policy lease;
   };
 
-  explicit RateFleet(const Options& options) : options(options) {
+  explicit RateLimitSimulation(const Options& options) : options(options) {
     this->limits.push_back({{options.rate, options.burst,
                              options.domains * options.slots_per_domain},
                             common::Duration::zero()});
@@ -226,11 +226,11 @@
     bool peers_cut = false;
     /// Number of limits that it knows, the latest being in force.
     std::size_t learned = 0;
-    std::unique_ptr<RateShare> share;
-    std::unique_ptr<RateSlotLease> lease;
+    std::unique_ptr<LocalRateLimiter> share;
+    std::unique_ptr<RateSlotLeaseManager> lease;
     /// Events that wait for the end of a pause.
     std::vector<std::function<void()>> inbox;
-    LenderChoice lenders;
+    LenderSelector lenders;
   };
 
   struct Store {
@@ -260,13 +260,13 @@
     daemon.paused = false;
     daemon.draining = false;
     daemon.learned = this->limits.size();
-    daemon.share = std::make_unique<RateShare>(
+    daemon.share = std::make_unique<LocalRateLimiter>(
         this->limits.back().limits, this->Clock(daemon), this->options.share);
-    const RateSlotLease::SlotRange range{
+    const RateSlotLeaseManager::SlotRange range{
         daemon.domain * this->options.slots_per_domain,
         this->options.slots_per_domain};
-    daemon.lenders = LenderChoice();
-    daemon.lease = std::make_unique<RateSlotLease>(
+    daemon.lenders = LenderSelector();
+    daemon.lease = std::make_unique<RateSlotLeaseManager>(
         daemon.host, daemon.incarnation, range, this->options.lease);
   }
 
@@ -417,7 +417,7 @@
   void AskForLoan(Daemon& daemon) {
     const common::SteadyTime before = this->Clock(daemon);
     const std::optional<BorrowRequest> request =
-        daemon.share->NextBorrow(before);
+        daemon.share->NextBorrowRequest(before);
     if (!request || daemon.peers_cut) {
       return;
     }
@@ -446,7 +446,7 @@
                            host = peer.host](Daemon& borrower) {
         const common::SteadyTime now = this->Clock(borrower);
         borrower.lenders.OnAnswer(host, loan, now);
-        borrower.share->Borrow(before, loan, now);
+        borrower.share->AcceptLoan(before, loan, now);
       };
       if (fault != LoanFault::kAnswerLost) {
         this->Send(daemon, delay, answer);
@@ -477,4 +477,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_FLEET_H_
+#endif  // CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATION_H_
--- a/Source/UnitTests/Core/Process/rate_fleet_test.cc
+++ b/Source/UnitTests/Core/Process/rate_limit_simulation_test.cc
@@ -1,4 +1,4 @@
-#include "rate_fleet.h"
+#include "rate_limit_simulation.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -88,7 +88,7 @@
 }
 
 /// Requests at one daemon, or at all, for some time.
-void Load(RateFleet& fleet, const Command& command) {
+void Load(RateLimitSimulation& fleet, const Command& command) {
   fleet.Advance(milliseconds(100 * command.amount), milliseconds(50), [&] {
     for (std::size_t each = 0; each < fleet.Size(); ++each) {
       if (command.on || each == command.daemon) {
@@ -100,7 +100,7 @@
 
 /// Every daemon uses all that it has. Rate or capacity that is at two daemons
 /// shows here.
-void Burst(RateFleet& fleet) {
+void Burst(RateLimitSimulation& fleet) {
   for (std::size_t each = 0; each < fleet.Size(); ++each) {
     fleet.Request(each, 20);
   }
@@ -109,7 +109,7 @@
 /// A daemon runs dry, which makes it borrow; its loan meets a fault; the
 /// buckets fill, and every daemon uses all that it has while the loan runs,
 /// ends or has ended.
-void LoanThenBurst(RateFleet& fleet, const Command& command) {
+void LoanThenBurst(RateLimitSimulation& fleet, const Command& command) {
   fleet.Advance(seconds(2), milliseconds(100));
   fleet.FailNextLoan(static_cast<LoanFault>(command.amount % 6),
                      milliseconds(60 * command.amount));
@@ -122,7 +122,7 @@
 
 /// A daemon drains while a loan from it may run, another takes its slot, and
 /// every daemon uses all that it has.
-void DrainThenBurst(RateFleet& fleet, const Command& command) {
+void DrainThenBurst(RateLimitSimulation& fleet, const Command& command) {
   fleet.Request((command.daemon + 1) % fleet.Size(), 20);
   fleet.Advance(milliseconds(10), milliseconds(10));
   fleet.Drain(command.daemon);
@@ -130,7 +130,7 @@
   Burst(fleet);
 }
 
-void Run(RateFleet& fleet, const Command& command) {
+void Run(RateLimitSimulation& fleet, const Command& command) {
   const std::size_t daemon = command.daemon;
   switch (command.kind) {
     case CommandKind::kRequests:
@@ -183,10 +183,11 @@
 
 // Guards against any combination of faults in which the daemons together admit
 // more than a workspace's rate and burst.
-RC_GTEST_PROP(RateFleetTest, AnyFaults_AnyWindow_IsWithinRateAndBurst, ()) {
-  RateFleet::Options options;
+RC_GTEST_PROP(RateLimitSimulationTest, AnyFaults_AnyWindow_IsWithinRateAndBurst,
+              ()) {
+  RateLimitSimulation::Options options;
   options.clock_ppm = AnyClocks();
-  RateFleet fleet(options);
+  RateLimitSimulation fleet(options);
   const auto commands = *rc::gen::container<std::vector<Command>>(AnyCommand());
   fleet.Advance(minutes(2), seconds(1));
   for (const Command& command : commands) {
@@ -196,15 +197,15 @@
   RC_ASSERT(fleet.WorstExcess() <= 1e-6);
 }
 
-class RateFleetScenarioTest : public testing::Test {
+class RateLimitScenarioTest : public testing::Test {
  protected:
   /// A holder that lost the store and the host list goes on with its slots
   /// while another daemon wants them.
   static double ExcessWhenAHolderIsCutOff(bool wait_for_lease) {
-    RateFleet::Options options;
+    RateLimitSimulation::Options options;
     options.daemons_per_domain = 2;
     options.lease.wait_for_lease = wait_for_lease;
-    RateFleet fleet(options);
+    RateLimitSimulation fleet(options);
     fleet.Kill(1);
     fleet.Advance(minutes(2), seconds(1));
     fleet.CutFromStore(0, true);
@@ -218,10 +219,10 @@
   /// A loan whose answer takes most of the loan's time; when the lender has
   /// taken it back, both use all that they have.
   static double ExcessWhenALoanIsLate(bool counts_from_request) {
-    RateFleet::Options options;
+    RateLimitSimulation::Options options;
     options.daemons_per_domain = 2;
     options.share.loan_counts_from_request = counts_from_request;
-    RateFleet fleet(options);
+    RateLimitSimulation fleet(options);
     fleet.Advance(minutes(3), seconds(1));
     fleet.FailNextLoan(LoanFault::kAnswerDelayed, milliseconds(4500));
     fleet.Request(0, 20);
@@ -234,7 +235,7 @@
   }
 
   /// Served part of the rate with more requests than that at all daemons.
-  static double UsablePart(RateFleet& fleet, Duration time,
+  static double UsablePart(RateLimitSimulation& fleet, Duration time,
                            const std::vector<std::size_t>& loaded,
                            Duration step = milliseconds(500)) {
     const std::size_t before = fleet.AdmittedCount();
@@ -258,9 +259,9 @@
                                   double skew) {
     constexpr Duration kStep = milliseconds(5);
     constexpr int kWaitSteps = 100;
-    RateFleet::Options options = EightHosts(1);
+    RateLimitSimulation::Options options = EightHosts(1);
     options.burst = burst;
-    RateFleet fleet(options);
+    RateLimitSimulation fleet(options);
     fleet.Advance(minutes(5), seconds(1));
     std::mt19937_64 random(20261204);
     std::uniform_real_distribution<double> uniform(0, 1);
@@ -275,7 +276,7 @@
       level = std::min<double>(burst, level + per_step);
       for (std::size_t daemon = 0; daemon < fleet.Size(); ++daemon) {
         std::deque<int>& queue = waiting[daemon];
-        while (!queue.empty() && fleet.Ask(daemon, Attempt::kRepeated)) {
+        while (!queue.empty() && fleet.Ask(daemon, Attempt::kRetry)) {
           queue.pop_front();
         }
         while (!queue.empty() && queue.front() <= step) {
@@ -299,8 +300,8 @@
   }
 
   /// Eight hosts with a slot each, and a workspace with 80 requests/s.
-  static RateFleet::Options EightHosts(std::uint32_t domains) {
-    RateFleet::Options options;
+  static RateLimitSimulation::Options EightHosts(std::uint32_t domains) {
+    RateLimitSimulation::Options options;
     options.domains = domains;
     options.daemons_per_domain = 8 / domains;
     options.slots_per_domain = 8 / domains;
@@ -315,26 +316,26 @@
 };
 
 // Guards against an oracle that misses a slot which two daemons use.
-TEST_F(RateFleetScenarioTest, SlotTakenWithoutWaiting_Oracle_NoticesIt) {
+TEST_F(RateLimitScenarioTest, SlotTakenWithoutWaiting_Oracle_NoticesIt) {
   EXPECT_GT(ExcessWhenAHolderIsCutOff(false), 1);
   EXPECT_LE(ExcessWhenAHolderIsCutOff(true), 1e-6);
 }
 
 // Guards against an oracle that misses a loan which two daemons use.
-TEST_F(RateFleetScenarioTest, LoanCountedFromTheAnswer_Oracle_NoticesIt) {
+TEST_F(RateLimitScenarioTest, LoanCountedFromTheAnswer_Oracle_NoticesIt) {
   EXPECT_GT(ExcessWhenALoanIsLate(false), 1);
   EXPECT_LE(ExcessWhenALoanIsLate(true), 1e-6);
 }
 
 // Guards against usable parts of a rate below what section 4.5 states. Buckets
 // refill at 99.5% of the rate, so 100% shows as 0.995.
-TEST_F(RateFleetScenarioTest, FourFaults_UsablePart_IsAsTheDesignStates) {
-  RateFleet store_down(EightHosts(1));
+TEST_F(RateLimitScenarioTest, FourFaults_UsablePart_IsAsTheDesignStates) {
+  RateLimitSimulation store_down(EightHosts(1));
   store_down.Advance(minutes(5), seconds(1));
   store_down.SetStoreUp(false);
   const double with_store_down = UsablePart(store_down, hours(1), AllEight());
 
-  RateFleet cut_off(EightHosts(2));
+  RateLimitSimulation cut_off(EightHosts(2));
   cut_off.Advance(minutes(5), seconds(1));
   for (std::size_t daemon = 0; daemon < 4; ++daemon) {
     cut_off.CutFromStore(daemon, true);
@@ -342,7 +343,7 @@
   }
   const double with_domain_cut_off = UsablePart(cut_off, hours(1), AllEight());
 
-  RateFleet killed(EightHosts(1));
+  RateLimitSimulation killed(EightHosts(1));
   killed.Advance(minutes(5), seconds(1));
   killed.Kill(0);
   const double with_host_killed = UsablePart(killed, hours(1), AllEight());
@@ -350,7 +351,7 @@
   killed.Advance(minutes(35), seconds(1));
   const double after_the_lease = UsablePart(killed, minutes(10), AllEight());
 
-  RateFleet both(EightHosts(1));
+  RateLimitSimulation both(EightHosts(1));
   both.Advance(minutes(5), seconds(1));
   both.SetStoreUp(false);
   both.Kill(0);
@@ -370,8 +371,8 @@
 
 // Guards against a workspace that gets only one daemon's part of its rate
 // because all its requests come to that daemon.
-TEST_F(RateFleetScenarioTest, AllRequestsAtOneDaemon_Loans_BringTheRest) {
-  RateFleet fleet(EightHosts(1));
+TEST_F(RateLimitScenarioTest, AllRequestsAtOneDaemon_Loans_BringTheRest) {
+  RateLimitSimulation fleet(EightHosts(1));
   fleet.Advance(minutes(5), seconds(1));
   UsablePart(fleet, seconds(30), {3}, milliseconds(50));
   const double part = UsablePart(fleet, minutes(10), {3}, milliseconds(50));
@@ -384,7 +385,7 @@
 // refused although the workspace is within its rate. A bound of 1 only prints:
 // there, random requests exceed the few tokens at a daemon faster than loans
 // come.
-TEST_F(RateFleetScenarioTest, WithinTheRate_RefusedPart_IsSmall) {
+TEST_F(RateLimitScenarioTest, WithinTheRate_RefusedPart_IsSmall) {
   // Bounds for load 0.5 evenly, 0.5 mostly at one daemon, 0.9 evenly, and 0.9
   // mostly at one daemon.
   const std::map<std::uint32_t, std::array<double, 4>> bounds = {
--- a/Source/UnitTests/Core/Process/rate_slot_lease_test.cc
+++ b/Source/UnitTests/Core/Process/rate_slot_lease_manager_test.cc
@@ -19,20 +19,20 @@
 using std::chrono::seconds;
 
 constexpr SteadyTime kStart{hours(1)};
-constexpr RateSlotLease::SlotRange kEightSlots{.first = 16, .count = 8};
+constexpr RateSlotLeaseManager::SlotRange kEightSlots{.first = 16, .count = 8};
 
 HostId HostNumber(int number) {
   return HostId("host-" + std::to_string(number));
 }
 
-class RateSlotLeaseTest : public testing::Test {
+class RateSlotLeaseManagerTest : public testing::Test {
  protected:
   enum class Answer { kArrives, kLost, kLostWithoutEffect };
 
-  RateSlotLease& AddDaemon(int number, Incarnation incarnation = 1) {
+  RateSlotLeaseManager& AddDaemon(int number, Incarnation incarnation = 1) {
     this->hosts.insert(HostNumber(number));
     this->daemons.emplace_back(HostNumber(number), incarnation, kEightSlots);
-    for (RateSlotLease& daemon : this->daemons) {
+    for (RateSlotLeaseManager& daemon : this->daemons) {
       daemon.SetHosts(this->hosts);
     }
     return this->daemons.back();
@@ -40,7 +40,7 @@
 
   /// Ticks a daemon and carries out its calls at once; returns what it said
   /// about slots.
-  SlotActions Poll(RateSlotLease& daemon, SteadyTime now,
+  SlotActions Poll(RateSlotLeaseManager& daemon, SteadyTime now,
                    Answer answer = Answer::kArrives) {
     SlotActions said;
     SlotActions actions = daemon.Tick(now);
@@ -60,7 +60,7 @@
     return said;
   }
 
-  SlotActions Update(RateSlotLease& daemon, const UpdateSlots& update,
+  SlotActions Update(RateSlotLeaseManager& daemon, const UpdateSlots& update,
                      SteadyTime now, Answer answer) {
     if (update.if_version != this->version) {
       return daemon.OnUpdateConflicted(now);
@@ -79,7 +79,7 @@
   /// Polls all daemons once a second.
   SteadyTime PollAll(SteadyTime from, Duration time) {
     for (SteadyTime now = from; now < from + time; now += seconds(1)) {
-      for (RateSlotLease& daemon : this->daemons) {
+      for (RateSlotLeaseManager& daemon : this->daemons) {
         this->Poll(daemon, now);
       }
     }
@@ -88,13 +88,13 @@
 
   std::vector<std::size_t> HeldNumbers(SteadyTime now) const {
     std::vector<std::size_t> numbers;
-    for (const RateSlotLease& daemon : this->daemons) {
+    for (const RateSlotLeaseManager& daemon : this->daemons) {
       numbers.push_back(daemon.HeldSlots(now).size());
     }
     return numbers;
   }
 
-  std::deque<RateSlotLease> daemons;
+  std::deque<RateSlotLeaseManager> daemons;
   std::set<HostId> hosts;
   ObjectVersion version = 0;
   std::string content;
@@ -102,7 +102,7 @@
 };
 
 // Guards against holders that are forgotten because the document is misread.
-TEST_F(RateSlotLeaseTest, Document_RoundTrip_IsUnchanged) {
+TEST_F(RateSlotLeaseManagerTest, Document_RoundTrip_IsUnchanged) {
   const SlotDocument document{SlotRecord{HostNumber(1), 7, 8, 9}, std::nullopt};
   EXPECT_EQ(ParseSlotDocument(FormatSlotDocument(document)), document);
   EXPECT_THROW(ParseSlotDocument("{"), BadSlotDocumentError);
@@ -112,7 +112,7 @@
 
 // Guards against slots that nobody holds while all daemons live, also when
 // they do not divide evenly.
-TEST_F(RateSlotLeaseTest, AllDaemonsLive_AfterStart_AllSlotsAreHeld) {
+TEST_F(RateSlotLeaseManagerTest, AllDaemonsLive_AfterStart_AllSlotsAreHeld) {
   for (int number = 0; number < 3; ++number) {
     this->AddDaemon(number);
   }
@@ -123,8 +123,8 @@
 }
 
 // Guards against a daemon that keeps the slots of those that started later.
-TEST_F(RateSlotLeaseTest, OneHoldsAll_OthersStart_EachGetsOne) {
-  RateSlotLease& first = this->AddDaemon(0);
+TEST_F(RateSlotLeaseManagerTest, OneHoldsAll_OthersStart_EachGetsOne) {
+  RateSlotLeaseManager& first = this->AddDaemon(0);
   this->PollAll(kStart, seconds(1));
   EXPECT_EQ(first.HeldSlots(kStart).size(), 8);
   for (int number = 1; number < 8; ++number) {
@@ -135,8 +135,9 @@
 }
 
 // Guards against a lease counted from the answer, and against a lost renewal.
-TEST_F(RateSlotLeaseTest, Holder_Renewal_IsEveryTenMinutesFromBeforeTheCall) {
-  RateSlotLease& daemon = this->AddDaemon(0);
+TEST_F(RateSlotLeaseManagerTest,
+       Holder_Renewal_IsEveryTenMinutesFromBeforeTheCall) {
+  RateSlotLeaseManager& daemon = this->AddDaemon(0);
   ASSERT_EQ(daemon.Tick(kStart).size(), 1);
   const SteadyTime read = kStart + seconds(1);
   const SlotActions actions = daemon.OnRead(0, "", kStart, read);
@@ -147,24 +148,25 @@
   ASSERT_EQ(used.size(), 8);
   EXPECT_EQ(std::get<UseSlot>(used[0]).slot, 16);
   EXPECT_EQ(std::get<UseSlot>(used[0]).lease_end,
-            read + UserPeriod(kSlotLeaseLength));
+            read + HolderPeriod(kSlotLeaseDuration));
 
   const SteadyTime due = read + kSlotRenewalInterval;
   EXPECT_TRUE(this->Poll(daemon, due - Duration(1)).empty());
   const SlotActions extended = this->Poll(daemon, due);
   ASSERT_EQ(extended.size(), 8);
   EXPECT_EQ(std::get<ExtendSlot>(extended[0]).lease_end,
-            due + UserPeriod(kSlotLeaseLength));
+            due + HolderPeriod(kSlotLeaseDuration));
 }
 
 // Guards against a killed holder's slot that is taken while its lease runs.
-TEST_F(RateSlotLeaseTest, HolderKilled_OtherDaemon_TakesOnlyAfterTheLease) {
+TEST_F(RateSlotLeaseManagerTest,
+       HolderKilled_OtherDaemon_TakesOnlyAfterTheLease) {
   this->Poll(this->AddDaemon(0), kStart);
   this->daemons.pop_front();
   this->hosts.clear();
-  RateSlotLease& taker = this->AddDaemon(1);
-  const SteadyTime free = kStart + GiverWait(kSlotLeaseLength);
-  SteadyTime now = this->PollAll(kStart, GiverWait(kSlotLeaseLength));
+  RateSlotLeaseManager& taker = this->AddDaemon(1);
+  const SteadyTime free = kStart + GrantorPeriod(kSlotLeaseDuration);
+  SteadyTime now = this->PollAll(kStart, GrantorPeriod(kSlotLeaseDuration));
   EXPECT_EQ(now, free);
   EXPECT_TRUE(taker.HeldSlots(now).empty());
   now = this->PollAll(now, minutes(2));
@@ -173,10 +175,10 @@
 
 // Guards against a taker that counts the time of a pause in which the holder
 // renewed.
-TEST_F(RateSlotLeaseTest, TakerPaused_HolderRenewed_DoesNotTake) {
-  RateSlotLease& holder = this->AddDaemon(0);
+TEST_F(RateSlotLeaseManagerTest, TakerPaused_HolderRenewed_DoesNotTake) {
+  RateSlotLeaseManager& holder = this->AddDaemon(0);
   this->Poll(holder, kStart);
-  RateSlotLease& taker = this->AddDaemon(1);
+  RateSlotLeaseManager& taker = this->AddDaemon(1);
   holder.SetHosts({HostNumber(0)});
   this->Poll(taker, kStart);
   this->Poll(holder, kStart + minutes(80));
@@ -190,8 +192,8 @@
 
 // Guards against the use of a slot whose taking did not take effect, and
 // against a slot that is lost because the answer was.
-TEST_F(RateSlotLeaseTest, AnswerLost_Slots_AreUsedOnlyAfterARead) {
-  RateSlotLease& daemon = this->AddDaemon(0);
+TEST_F(RateSlotLeaseManagerTest, AnswerLost_Slots_AreUsedOnlyAfterARead) {
+  RateSlotLeaseManager& daemon = this->AddDaemon(0);
   EXPECT_TRUE(this->Poll(daemon, kStart, Answer::kLostWithoutEffect).empty());
   EXPECT_EQ(this->updates, 0);
   const SteadyTime sent = kStart + seconds(1);
@@ -201,33 +203,35 @@
   const SlotActions actions = this->Poll(daemon, sent + seconds(2));
   ASSERT_EQ(actions.size(), 8);
   EXPECT_EQ(std::get<UseSlot>(actions[0]).lease_end,
-            sent + UserPeriod(kSlotLeaseLength));
+            sent + HolderPeriod(kSlotLeaseDuration));
 }
 
 // Guards against a slot released while loans from it run, and against a wait
 // for the lease after a graceful stop.
-TEST_F(RateSlotLeaseTest, Drain_Slots_AreStoppedAtOnceAndFreeAfterTheLoans) {
-  RateSlotLease& holder = this->AddDaemon(0);
+TEST_F(RateSlotLeaseManagerTest,
+       Drain_Slots_AreStoppedAtOnceAndFreeAfterTheLoans) {
+  RateSlotLeaseManager& holder = this->AddDaemon(0);
   this->Poll(holder, kStart);
   const SlotActions stopped = holder.Drain(kStart + minutes(1));
   ASSERT_EQ(stopped.size(), 8);
   EXPECT_TRUE(std::holds_alternative<StopSlot>(stopped[0]));
-  const SteadyTime released = kStart + minutes(1) + GiverWait(kLoanLength);
+  const SteadyTime released =
+      kStart + minutes(1) + GrantorPeriod(kLoanDuration);
   this->Poll(holder, kStart + minutes(1));
   this->Poll(holder, released - Duration(1));
   EXPECT_FALSE(holder.Drained());
   this->Poll(holder, released);
   EXPECT_TRUE(holder.Drained());
   this->hosts.clear();
-  RateSlotLease& taker = this->AddDaemon(1);
+  RateSlotLeaseManager& taker = this->AddDaemon(1);
   this->Poll(taker, released);
   EXPECT_EQ(taker.HeldSlots(released).size(), 8);
 }
 
 // Guards against a daemon that fills the store with calls, or stops calling,
 // after conflicts and failures.
-TEST_F(RateSlotLeaseTest, StoreFails_Retries_BecomeRareAndGoOn) {
-  RateSlotLease& daemon = this->AddDaemon(0);
+TEST_F(RateSlotLeaseManagerTest, StoreFails_Retries_BecomeRareAndGoOn) {
+  RateSlotLeaseManager& daemon = this->AddDaemon(0);
   int reads = 0;
   for (SteadyTime now = kStart; now < kStart + hours(1);
        now += milliseconds(100)) {
