--- a/Source/Core/Process/acknowledgement_task.cc
+++ b/Source/Core/Process/acknowledgement_task.cc
@@ -11,11 +11,11 @@
 }  // namespace
 
 AcknowledgementTask::AcknowledgementTask(
-    connection::EventLoop* loop, const ExecutedStatement& execution,
+    connection::EventLoop* loop, const ExecutedStatement& statement,
     const std::vector<common::EndpointId>& replicas,
     common::SteadyTime deadline, ConfirmRouter router, Callback done)
     : loop(loop),
-      rule(execution, replicas, deadline),
+      tracker(statement, replicas, deadline),
       router(std::move(router)),
       done(std::move(done)) {}
 
@@ -24,12 +24,12 @@
       this->loop->Every(kTickInterval, [self = this->shared_from_this()] {
         self->Handle(AcknowledgementTick{});
       });
-  this->Perform(this->rule.Start(common::SteadyNow()));
+  this->Perform(this->tracker.Start(common::SteadyNow()));
 }
 
 void AcknowledgementTask::Handle(const AcknowledgementEvent& event) {
   if (!this->done) return;
-  this->Perform(this->rule.Handle(event, common::SteadyNow()));
+  this->Perform(this->tracker.Handle(event, common::SteadyNow()));
 }
 
 void AcknowledgementTask::Perform(const AcknowledgementDecision& decision) {
@@ -40,16 +40,16 @@
           },
           [this](const ReportUnknown& /*decision*/) { this->Finish(false); },
           [](const AwaitReply& /*decision*/) {},
-          [this](const RequestConfirmation& ask) {
+          [this](const RequestConfirmation& request) {
             this->router(
-                ask.endpoint, ask.position, ask.wait,
+                request.endpoint, request.position, request.wait,
                 [self = this->shared_from_this(),
-                 ask](const connection::ConfirmReply& reply) {
+                 request](const connection::ConfirmReply& reply) {
                   if (!reply.answered) {
-                    self->Handle(ConfirmFailed{ask.endpoint});
+                    self->Handle(ConfirmFailed{request.endpoint});
                     return;
                   }
-                  self->Handle(ConfirmReply{ask.endpoint, reply.held,
+                  self->Handle(ConfirmReply{request.endpoint, reply.held,
                                             reply.fence, reply.position});
                 });
           }},
@@ -57,10 +57,11 @@
 }
 
 void AcknowledgementTask::Finish(bool acknowledged) {
-  const Callback finished = std::exchange(this->done, nullptr);
-  // The timer holds the last reference to this task.
-  const std::unique_ptr<connection::Timer> ending = std::move(this->tick);
-  finished(acknowledged);
+  const Callback callback = std::exchange(this->done, nullptr);
+  // The timer may hold the last reference to this task, so it must outlive the
+  // callback.
+  const std::unique_ptr<connection::Timer> timer = std::move(this->tick);
+  callback(acknowledged);
 }
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/acknowledgement_task.h
+++ b/Source/Core/Process/acknowledgement_task.h
@@ -10,26 +10,28 @@
 
 namespace camphorferry::process {
 
-/// Asks the owner of an endpoint's connections whether the endpoint holds an
-/// entry; the owner may be this daemon or another.
+/// Sends a confirm request to the owner of an endpoint's connections, which may
+/// be this daemon or another one.
 using ConfirmRouter = std::function<void(
     const common::EndpointId& endpoint, common::LogPosition position,
     common::Duration wait, ConfirmBatcher::Callback done)>;
 
-/// Carries out the acknowledgement rule for one executed statement.
+/// Waits until one executed statement may be acknowledged: sends the confirm
+/// requests that the AcknowledgementTracker decides on.
 class AcknowledgementTask
     : public std::enable_shared_from_this<AcknowledgementTask> {
  public:
-  /// Receives true if the statement may be acknowledged.
+  /// Receives true if the statement may be acknowledged, false if its outcome
+  /// is unknown.
   using Callback = std::function<void(bool acknowledged)>;
 
   AcknowledgementTask(connection::EventLoop* loop,
-                      const ExecutedStatement& execution,
+                      const ExecutedStatement& statement,
                       const std::vector<common::EndpointId>& replicas,
                       common::SteadyTime deadline, ConfirmRouter router,
                       Callback done);
 
-  /// Starts asking; the task keeps itself alive until its end.
+  /// Starts the confirm requests. The task keeps itself alive until it ends.
   void Start();
 
  private:
@@ -38,7 +40,7 @@
   void Finish(bool acknowledged);
 
   connection::EventLoop* loop;
-  AcknowledgementTracker rule;
+  AcknowledgementTracker tracker;
   ConfirmRouter router;
   Callback done;
   std::unique_ptr<connection::Timer> tick;
--- a/Source/Core/Process/acknowledgement_tracker.cc
+++ b/Source/Core/Process/acknowledgement_tracker.cc
@@ -9,25 +9,25 @@
 
 using std::chrono::milliseconds;
 
-/// Replication usually delivers the entry within a few milliseconds; a replica
-/// that takes longer than this is lagging and the other one is asked.
-constexpr common::Duration kConfirmWait = milliseconds(50);
-/// The next replica is asked although the last one hasn't answered yet: the
-/// wait above plus a round trip between regions (40 ms).
+/// Replication usually delivers an entry within a few milliseconds. A replica
+/// that takes longer than this is lagging, and the next replica is asked.
+constexpr common::Duration kReplicaWait = milliseconds(50);
+/// The next replica is asked although the previous one has not responded:
+/// kReplicaWait plus a round trip between regions (40 ms).
 constexpr common::Duration kHedgeDelay = milliseconds(100);
-/// Keeps a replica that answers at once from being asked in a tight loop.
-constexpr common::Duration kRepeatDelay = milliseconds(10);
+/// Minimum time between two requests to the same replica.
+constexpr common::Duration kRetryDelay = milliseconds(10);
 
 }  // namespace
 
 AcknowledgementTracker::AcknowledgementTracker(
-    ExecutedStatement execution,
+    ExecutedStatement statement,
     const std::vector<common::EndpointId>& replicas,
     common::SteadyTime deadline, AcknowledgementPolicy policy)
-    : execution(std::move(execution)), deadline(deadline), policy(policy) {
+    : statement(std::move(statement)), deadline(deadline), policy(policy) {
   for (const common::EndpointId& id : replicas) {
-    // The primary's own copy proves nothing about a second one.
-    if (id == this->execution.endpoint) continue;
+    // The primary's own copy does not show that a second copy exists.
+    if (id == this->statement.endpoint) continue;
     Replica replica;
     replica.id = id;
     this->replicas.push_back(std::move(replica));
@@ -36,10 +36,11 @@
 
 AcknowledgementDecision AcknowledgementTracker::Start(common::SteadyTime now) {
   if (!this->policy.require_replica) this->confirmed = true;
-  // A copy of an entry of an older term may still be replaced by a later
-  // primary; only an entry of the primary's own term settles those before it.
-  if (this->execution.position.term != this->execution.term) {
-    this->given_up = true;
+  // An entry of an older term may still be replaced by a later primary, even if
+  // replicas hold it. Only an entry of the primary's own term commits the
+  // entries before it.
+  if (this->statement.position.term != this->statement.term) {
+    this->outcome_unknown = true;
   }
   return this->Decide(now);
 }
@@ -53,11 +54,11 @@
 void AcknowledgementTracker::On(const ConfirmReply& event,
                                 common::SteadyTime now) {
   Replica* replica = this->Find(event.endpoint);
-  if (replica == nullptr || this->given_up || this->confirmed) return;
-  replica->asked = false;
-  replica->not_before = now + kRepeatDelay;
-  if (event.fence > this->execution.term) {
-    // A fence never falls, so this replica can't confirm any more.
+  if (replica == nullptr || this->outcome_unknown || this->confirmed) return;
+  replica->request_pending = false;
+  replica->retry_not_before = now + kRetryDelay;
+  if (event.fence > this->statement.term) {
+    // A fence never decreases, so this replica can no longer confirm.
     replica->fenced_above = true;
     this->superseded_by =
         std::max(this->superseded_by.value_or(event.fence), event.fence);
@@ -70,45 +71,45 @@
                                 common::SteadyTime now) {
   Replica* replica = this->Find(event.endpoint);
   if (replica == nullptr) return;
-  replica->asked = false;
-  replica->not_before = now + kRepeatDelay;
+  replica->request_pending = false;
+  replica->retry_not_before = now + kRetryDelay;
 }
 
 void AcknowledgementTracker::On(const AcknowledgementTick&,
                                 common::SteadyTime) {}
 
 AcknowledgementDecision AcknowledgementTracker::Decide(common::SteadyTime now) {
-  if (this->given_up) return this->Unknown();
+  if (this->outcome_unknown) return this->GiveUp();
   if (this->confirmed) return Acknowledge{};
   const bool all_fenced_above =
       std::all_of(this->replicas.begin(), this->replicas.end(),
                   [](const Replica& replica) { return replica.fenced_above; });
-  if (all_fenced_above || now >= this->deadline) return this->Unknown();
-  const bool waiting =
-      std::any_of(this->replicas.begin(), this->replicas.end(),
-                  [](const Replica& replica) { return replica.asked; });
-  if (waiting && now < *this->asked_at + kHedgeDelay) return AwaitReply{};
+  if (all_fenced_above || now >= this->deadline) return this->GiveUp();
+  const bool pending = std::any_of(
+      this->replicas.begin(), this->replicas.end(),
+      [](const Replica& replica) { return replica.request_pending; });
+  if (pending && now < *this->last_request + kHedgeDelay) return AwaitReply{};
   Replica* replica = this->NextReplica(now);
   if (replica == nullptr) return AwaitReply{};
-  replica->asked = true;
-  this->asked_at = now;
-  const common::Duration left = this->deadline - now;
-  return RequestConfirmation{replica->id, this->execution.position,
-                             std::min(kConfirmWait, left)};
+  replica->request_pending = true;
+  this->last_request = now;
+  const common::Duration remaining = this->deadline - now;
+  return RequestConfirmation{replica->id, this->statement.position,
+                             std::min(kReplicaWait, remaining)};
 }
 
-AcknowledgementDecision AcknowledgementTracker::Unknown() {
-  this->given_up = true;
+AcknowledgementDecision AcknowledgementTracker::GiveUp() {
+  this->outcome_unknown = true;
   return ReportUnknown{this->superseded_by};
 }
 
-/// The first replica in order that wasn't asked lately, so that the other one
-/// gets its turn after an answer that didn't help.
+/// The first replica in the given order that was not asked recently, so that
+/// the replicas are asked in turn.
 AcknowledgementTracker::Replica* AcknowledgementTracker::NextReplica(
     common::SteadyTime now) {
   for (Replica& replica : this->replicas) {
-    if (replica.asked || replica.fenced_above) continue;
-    if (now >= replica.not_before) return &replica;
+    if (replica.request_pending || replica.fenced_above) continue;
+    if (now >= replica.retry_not_before) return &replica;
   }
   return nullptr;
 }
--- a/Source/Core/Process/acknowledgement_tracker.h
+++ b/Source/Core/Process/acknowledgement_tracker.h
@@ -9,7 +9,7 @@
 
 namespace camphorferry::process {
 
-/// What a primary reported about a write or a read that it executed.
+/// A write or read that a primary executed, as reported in its reply.
 struct ExecutedStatement {
   common::EndpointId endpoint;
   common::Term term = 0;
@@ -18,7 +18,7 @@
   common::LogPosition position;
 };
 
-/// A replica answered a confirm request.
+/// A replica responded to a confirm request.
 struct ConfirmReply {
   common::EndpointId endpoint;
   bool held = false;
@@ -26,12 +26,12 @@
   common::LogPosition position;
 };
 
-/// A confirm request got no answer.
+/// A confirm request got no response.
 struct ConfirmFailed {
   common::EndpointId endpoint;
 };
 
-/// Time has passed.
+/// Periodic tick.
 struct AcknowledgementTick {};
 
 using AcknowledgementEvent =
@@ -51,9 +51,9 @@
 /// Wait for the next event.
 struct AwaitReply {};
 
-/// Report the outcome as unknown; a later answer changes nothing.
+/// Report the outcome as unknown. The decision is final.
 struct ReportUnknown {
-  /// Set if a replica was fenced above the execution's term, which shows that
+  /// Set if a replica is fenced above the statement's term, which shows that
   /// the primary is being or has been replaced.
   std::optional<common::Term> superseded_by;
 };
@@ -61,32 +61,36 @@
 using AcknowledgementDecision =
     std::variant<Acknowledge, RequestConfirmation, AwaitReply, ReportUnknown>;
 
-/// Rules that only tests change, to show that they notice the consequences.
+/// Safety rules that only tests disable, to verify that the violations are
+/// detected.
 struct AcknowledgementPolicy {
-  /// If false, the primary's answer alone is acknowledged.
+  /// If false, a statement is acknowledged without a replica's confirmation.
   bool require_replica = true;
 };
 
-/// Decides whether one executed write or primary read may be acknowledged. It
-/// may once a replica holds the position and is not fenced above the term: any
-/// fenced majority then includes a database that holds the entry.
+/// Tracks the replica confirmations of one executed write or primary read and
+/// decides when it may be acknowledged to the client.
+///
+/// A statement may be acknowledged once a replica holds its log position and is
+/// not fenced above its term: any fenced majority then includes a database that
+/// holds the entry, so a promotion keeps it.
 class AcknowledgementTracker {
  public:
   /// The replicas are asked in the given order.
-  AcknowledgementTracker(ExecutedStatement execution,
+  AcknowledgementTracker(ExecutedStatement statement,
                          const std::vector<common::EndpointId>& replicas,
                          common::SteadyTime deadline,
                          AcknowledgementPolicy policy = {});
 
-  /// The first decision, to be taken right after the execution.
+  /// Returns the first decision. To be called right after the execution.
   AcknowledgementDecision Start(common::SteadyTime now);
 
-  /// Takes an event and decides what to do next. After Acknowledge or
-  /// ReportUnknown the decision stays the same.
+  /// Handles an event and returns the next decision. Acknowledge and
+  /// ReportUnknown are final.
   AcknowledgementDecision Handle(const AcknowledgementEvent& event,
                                  common::SteadyTime now);
 
-  /// Highest fence above the execution's term that a replica has reported.
+  /// Highest fence above the statement's term that a replica has reported.
   std::optional<common::Term> SupersededBy() const {
     return this->superseded_by;
   }
@@ -94,28 +98,28 @@
  private:
   struct Replica {
     common::EndpointId id;
-    bool asked = false;
+    bool request_pending = false;
     bool fenced_above = false;
-    /// A replica is asked again only after a pause.
-    common::SteadyTime not_before;
+    /// Earliest time of the next request to this replica.
+    common::SteadyTime retry_not_before;
   };
 
   void On(const ConfirmReply& event, common::SteadyTime now);
   void On(const ConfirmFailed& event, common::SteadyTime now);
   void On(const AcknowledgementTick& event, common::SteadyTime now);
   AcknowledgementDecision Decide(common::SteadyTime now);
-  AcknowledgementDecision Unknown();
+  AcknowledgementDecision GiveUp();
   Replica* NextReplica(common::SteadyTime now);
   Replica* Find(const common::EndpointId& endpoint);
 
-  ExecutedStatement execution;
+  ExecutedStatement statement;
   std::vector<Replica> replicas;
   common::SteadyTime deadline;
   AcknowledgementPolicy policy;
-  std::optional<common::SteadyTime> asked_at;
+  std::optional<common::SteadyTime> last_request;
   std::optional<common::Term> superseded_by;
   bool confirmed = false;
-  bool given_up = false;
+  bool outcome_unknown = false;
 };
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/client_http_server.cc
+++ b/Source/Core/Process/client_http_server.cc
@@ -8,7 +8,7 @@
 
 constexpr char kBearer[] = "Bearer ";
 
-/// The client's key is in another scheme than Bearer.
+/// The Authorization header uses another scheme than Bearer.
 class UnknownKeySchemeError : public common::Error {
  public:
   UnknownKeySchemeError() : Error("expected Authorization: Bearer KEY") {}
@@ -45,8 +45,8 @@
 
 void ClientHttpServer::OnRequest(const connection::HttpRequest& request,
                                  Responder responder) {
-  constexpr int kNotFound = 404;
-  constexpr int kUnavailable = 503;
+  constexpr int kHttpNotFound = 404;
+  constexpr int kHttpUnavailable = 503;
   if (request.path == "/v1/statement" && request.method == "POST") {
     this->OnStatement(request, std::move(responder));
     return;
@@ -57,11 +57,11 @@
   }
   if (request.path == "/readyz") {
     const bool is_ready = this->ready();
-    responder->Send(TextResponse(is_ready ? 200 : kUnavailable,
+    responder->Send(TextResponse(is_ready ? 200 : kHttpUnavailable,
                                  is_ready ? "ready\n" : "not ready\n"));
     return;
   }
-  responder->Send(TextResponse(kNotFound, "unknown path\n"));
+  responder->Send(TextResponse(kHttpNotFound, "unknown path\n"));
 }
 
 void ClientHttpServer::OnStatement(const connection::HttpRequest& request,
@@ -69,7 +69,7 @@
   const std::string generated = std::to_string(this->context->random());
   const std::string request_id =
       request::RequestIdOrGenerated(request.headers, generated);
-  const auto refuse = [&](request::NotRunReason reason) {
+  const auto reject = [&](request::NotRunReason reason) {
     this->Answer(responder, request_id,
                  {request::NotRun{reason, std::nullopt}, ""});
   };
@@ -84,9 +84,9 @@
         })
         ->Start();
   } catch (const UnknownKeySchemeError&) {
-    refuse(request::NotRunReason::kUnknownKey);
+    reject(request::NotRunReason::kUnknownKey);
   } catch (const common::Error& error) {
-    refuse(request::RefusalReason(error).value_or(
+    reject(request::RefusalReason(error).value_or(
         request::NotRunReason::kBadRequest));
   }
 }
--- a/Source/Core/Process/client_http_server.h
+++ b/Source/Core/Process/client_http_server.h
@@ -9,20 +9,20 @@
 
 namespace camphorferry::process {
 
-/// Serves the clients' listener: statements, liveness and readiness.
+/// HTTP server for clients: statements, liveness and readiness.
 class ClientHttpServer {
  public:
-  /// The function says whether the daemon is ready for clients.
+  /// `ready` tells whether the daemon accepts requests of clients.
   ClientHttpServer(connection::EventLoop* loop,
                    const connection::SocketAddress& address,
                    RequestContext* context, std::function<bool()> ready);
 
   std::uint16_t Port() const { return this->server.Port(); }
 
-  /// Closes the listening socket; requests on open connections go on.
+  /// Closes the listening socket. Requests on open connections continue.
   void StopListening() { this->server.StopListening(); }
 
-  /// Requests that have no answer yet.
+  /// Number of requests that have not been answered yet.
   std::size_t ActiveRequests() const { return this->server.ActiveRequests(); }
 
   std::size_t OpenConnections() const { return this->server.OpenConnections(); }
--- a/Source/Core/Process/configuration_task.cc
+++ b/Source/Core/Process/configuration_task.cc
@@ -8,7 +8,7 @@
 
 constexpr char kConfigurationPath[] = "config";
 constexpr std::chrono::seconds kWatchTimeout(20);
-/// Delay before the next call after the store did not answer.
+/// Delay before the next call after the store did not respond.
 constexpr std::chrono::milliseconds kStoreRetryDelay(500);
 
 }  // namespace
@@ -16,7 +16,7 @@
 ConfigurationTask::ConfigurationTask(connection::EventLoop* loop,
                                      connection::ObjectStore* store,
                                      PeerClient* peers, EventLog* events,
-                                     Listener on_change)
+                                     ChangeCallback on_change)
     : loop(loop),
       store(store),
       peers(peers),
@@ -45,11 +45,11 @@
 }
 
 void ConfigurationTask::Watch() {
-  if (!this->watching || this->watch_open || !this->tracker.Ready()) return;
-  this->watch_open = true;
+  if (!this->watching || this->watch_pending || !this->tracker.Ready()) return;
+  this->watch_pending = true;
   this->store->Watch(kConfigurationPath, this->store_version, kWatchTimeout,
                      [this](const connection::ReadResult& result) {
-                       this->watch_open = false;
+                       this->watch_pending = false;
                        this->OnStoreRead(result);
                      });
 }
@@ -57,8 +57,8 @@
 void ConfigurationTask::OnStoreRead(const connection::ReadResult& result) {
   if (std::holds_alternative<connection::StoreNoAnswer>(result)) {
     this->tracker.StoreSilent();
-    this->AskPeers();
-    this->retry = this->loop->After(kStoreRetryDelay, [this] {
+    this->PullFromPeers();
+    this->retry_timer = this->loop->After(kStoreRetryDelay, [this] {
       if (this->tracker.Ready() && this->watching) {
         this->Watch();
       } else if (!this->tracker.Ready()) {
@@ -71,12 +71,13 @@
     this->store_version = object->version;
     const version::ConfigurationPointer configuration =
         object->version == 0 ? nullptr : this->Parse(object->value);
-    this->Report(this->tracker.StoreAnswered(configuration), Source::kStore);
+    this->ApplyOffer(this->tracker.StoreAnswered(configuration),
+                     Source::kStore);
   }
   this->Watch();
 }
 
-void ConfigurationTask::AskPeers() {
+void ConfigurationTask::PullFromPeers() {
   if (this->tracker.Ready()) return;
   for (const common::HostId& peer : this->tracker.PeersToAsk()) {
     this->PullFrom(peer, /*bootstrap=*/true);
@@ -89,23 +90,23 @@
 }
 
 void ConfigurationTask::PullFrom(const common::HostId& peer, bool bootstrap) {
-  if (!this->pulling.insert(peer).second) return;
+  if (!this->pending_pulls.insert(peer).second) return;
   this->peers->PullConfiguration(
       peer, this->tracker.Version(),
-      [this, peer, bootstrap](const std::optional<PeerConfiguration>& answer) {
-        this->pulling.erase(peer);
-        if (!answer) {
+      [this, peer, bootstrap](const std::optional<PeerConfiguration>& reply) {
+        this->pending_pulls.erase(peer);
+        if (!reply) {
           this->tracker.PeerSilent(peer);
           return;
         }
         const version::ConfigurationPointer configuration =
-            answer->document.empty() ? this->tracker.Current()
-                                     : this->Parse(answer->document);
+            reply->document.empty() ? this->tracker.Current()
+                                    : this->Parse(reply->document);
         if (bootstrap) {
-          this->Report(this->tracker.PeerAnswered(peer, configuration),
-                       Source::kPeer);
+          this->ApplyOffer(this->tracker.PeerAnswered(peer, configuration),
+                           Source::kPeer);
         } else {
-          this->Report(this->tracker.Offer(configuration), Source::kPeer);
+          this->ApplyOffer(this->tracker.Offer(configuration), Source::kPeer);
         }
         this->Watch();
       });
@@ -114,21 +115,22 @@
 version::ConfigurationVersion ConfigurationTask::OnPush(
     const PeerConfiguration& pushed) {
   if (this->tracker.IsBehind(pushed.version)) {
-    this->Report(this->tracker.Offer(this->Parse(pushed.document)),
-                 Source::kPeer);
+    this->ApplyOffer(this->tracker.Offer(this->Parse(pushed.document)),
+                     Source::kPeer);
   }
   return this->tracker.Version();
 }
 
 PeerConfiguration ConfigurationTask::OnPull(
     version::ConfigurationVersion have_version) const {
-  const version::ConfigurationVersion held = this->tracker.Version();
-  if (held <= have_version) return {held, ""};
-  return {held, this->document};
+  const version::ConfigurationVersion current_version = this->tracker.Version();
+  if (current_version <= have_version) return {current_version, ""};
+  return {current_version, this->document};
 }
 
 void ConfigurationTask::OnWritten(version::ConfigurationPointer configuration) {
-  this->Report(this->tracker.Offer(std::move(configuration)), Source::kStore);
+  this->ApplyOffer(this->tracker.Offer(std::move(configuration)),
+                   Source::kStore);
 }
 
 version::ConfigurationPointer ConfigurationTask::Parse(
@@ -145,8 +147,8 @@
   }
 }
 
-void ConfigurationTask::Report(const version::OfferResult& result,
-                               Source source) {
+void ConfigurationTask::ApplyOffer(const version::OfferResult& result,
+                                   Source source) {
   if (const auto* conflict = std::get_if<version::OfferConflict>(&result)) {
     this->events->Record(common::WallNow(), common::Subsystem::kVersion,
                          "configuration_conflict",
--- a/Source/Core/Process/configuration_task.h
+++ b/Source/Core/Process/configuration_task.h
@@ -13,43 +13,47 @@
 
 namespace camphorferry::process {
 
-/// Brings the configuration in force to this daemon: watches the store if it
-/// is one of its domain's watchers, pushes new versions to the domain's other
-/// daemons, and pulls from a peer that reports a higher version.
+/// Keeps this daemon's configuration up to date: watches the store if this
+/// daemon is one of its domain's watchers, pushes new versions to the other
+/// daemons of the domain, and pulls from a peer that reports a higher version.
 class ConfigurationTask {
  public:
-  using Listener = std::function<void(const version::ConfigurationPointer&)>;
+  using ChangeCallback =
+      std::function<void(const version::ConfigurationPointer&)>;
 
   ConfigurationTask(connection::EventLoop* loop, connection::ObjectStore* store,
-                    PeerClient* peers, EventLog* events, Listener on_change);
+                    PeerClient* peers, EventLog* events,
+                    ChangeCallback on_change);
 
-  /// Reads the store, and asks peers if it does not answer.
+  /// Reads the configuration from the store, or from peers if the store does
+  /// not respond.
   void Start();
 
-  /// Peers of the own failure domain.
+  /// Sets the peers of the own failure domain.
   void SetDomainPeers(const std::set<common::HostId>& domain_peers);
 
-  /// Whether this daemon keeps a watch open at the store.
+  /// Sets whether this daemon keeps a watch open at the store.
   void SetWatching(bool watching);
 
   /// Handles a version that a peer reported in a heartbeat.
   void OnPeerVersion(const common::HostId& peer,
                      version::ConfigurationVersion reported);
 
-  /// Takes a document that a peer pushed; returns the version in force.
+  /// Handles a document that a peer pushed; returns the version in force.
   version::ConfigurationVersion OnPush(const PeerConfiguration& pushed);
 
-  /// Answers a peer's pull.
+  /// Handles a peer's pull request.
   PeerConfiguration OnPull(version::ConfigurationVersion have_version) const;
 
-  /// Takes a configuration that this daemon itself wrote to the store.
+  /// Applies a configuration that this daemon itself wrote to the store.
   void OnWritten(version::ConfigurationPointer configuration);
 
   const version::ConfigurationPointer& Current() const {
     return this->tracker.Current();
   }
 
-  /// Version of the store's object at the last read, for conditional updates.
+  /// True once the configuration of the store or of the peers has been
+  /// determined (see ConfigurationTracker::Ready).
   bool Ready() const { return this->tracker.Ready(); }
 
  private:
@@ -58,25 +62,25 @@
   void ReadStore();
   void Watch();
   void OnStoreRead(const connection::ReadResult& result);
-  void AskPeers();
+  void PullFromPeers();
   void PullFrom(const common::HostId& peer, bool bootstrap);
   version::ConfigurationPointer Parse(const std::string& document);
-  void Report(const version::OfferResult& result, Source source);
+  void ApplyOffer(const version::OfferResult& result, Source source);
   void PushToPeers();
 
   connection::EventLoop* loop;
   connection::ObjectStore* store;
   PeerClient* peers;
   EventLog* events;
-  Listener on_change;
+  ChangeCallback on_change;
   version::ConfigurationTracker tracker;
   std::set<common::HostId> domain_peers;
-  std::set<common::HostId> pulling;
+  std::set<common::HostId> pending_pulls;
   connection::ObjectVersion store_version = 0;
   std::string document;
   bool watching = false;
-  bool watch_open = false;
-  std::unique_ptr<connection::Timer> retry;
+  bool watch_pending = false;
+  std::unique_ptr<connection::Timer> retry_timer;
 };
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/confirm_batcher.cc
+++ b/Source/Core/Process/confirm_batcher.cc
@@ -7,21 +7,23 @@
 
 namespace {
 
-/// Longest wait inside one call; short, so that later entries join soon.
-constexpr std::chrono::milliseconds kCallWait(100);
-/// Time allowed for the answer beyond the wait.
-constexpr std::chrono::milliseconds kAnswerMargin(200);
+/// Maximum time that the replica waits within one call. It is short so that
+/// entries added meanwhile are soon included.
+constexpr std::chrono::milliseconds kMaxReplicaWait(100);
+/// Time allowed for the response in addition to the wait.
+constexpr std::chrono::milliseconds kResponseMargin(200);
 
-/// True if the reply settles a wait for the position.
-bool Settles(const connection::ConfirmReply& reply,
-             common::LogPosition position) {
+/// True if the reply ends the wait for the position: the replica holds it, has
+/// left its term, or is fenced above it.
+bool IsResolved(const connection::ConfirmReply& reply,
+                common::LogPosition position) {
   return reply.position.term > position.term || reply.position >= position ||
          reply.fence > position.term;
 }
 
-/// The reply as it reads for one position. The log is one sequence within a
-/// term, so a replica whose last entry has the same term holds all earlier
-/// entries of that term.
+/// Converts the reply to one for the given position. The log is one sequence
+/// within a term, so a replica whose last entry has the same term holds all
+/// earlier entries of that term.
 connection::ConfirmReply ReplyFor(const connection::ConfirmReply& reply,
                                   common::LogPosition position) {
   connection::ConfirmReply own = reply;
@@ -39,12 +41,12 @@
 void ConfirmBatcher::Add(common::LogPosition position,
                          common::SteadyTime deadline, Callback done) {
   this->waiters.push_back({position, deadline, std::move(done)});
-  this->Ask();
+  this->SendRequest();
 }
 
-void ConfirmBatcher::Ask() {
-  if (this->asking || this->waiters.empty()) return;
-  this->asking = true;
+void ConfirmBatcher::SendRequest() {
+  if (this->request_pending || this->waiters.empty()) return;
+  this->request_pending = true;
   if (this->link == nullptr || !this->link->Usable()) {
     this->link = std::make_unique<connection::HttpEndpointLink>(this->loop,
                                                                 this->address);
@@ -55,24 +57,24 @@
                          return left.position < right.position;
                        });
   this->link->Confirm(
-      earliest->position, kCallWait, kCallWait + kAnswerMargin,
+      earliest->position, kMaxReplicaWait, kMaxReplicaWait + kResponseMargin,
       [this](const connection::ConfirmReply& reply) { this->OnReply(reply); });
 }
 
 void ConfirmBatcher::OnReply(const connection::ConfirmReply& reply) {
-  this->asking = false;
+  this->request_pending = false;
   const common::SteadyTime now = common::SteadyNow();
-  std::vector<Waiter> waiting = std::exchange(this->waiters, {});
-  for (Waiter& waiter : waiting) {
+  std::vector<Waiter> previous_waiters = std::exchange(this->waiters, {});
+  for (Waiter& waiter : previous_waiters) {
     if (!reply.answered) {
       waiter.done(connection::ConfirmReply{});
-    } else if (Settles(reply, waiter.position) || now >= waiter.deadline) {
+    } else if (IsResolved(reply, waiter.position) || now >= waiter.deadline) {
       waiter.done(ReplyFor(reply, waiter.position));
     } else {
       this->waiters.push_back(std::move(waiter));
     }
   }
-  this->Ask();
+  this->SendRequest();
 }
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/confirm_batcher.h
+++ b/Source/Core/Process/confirm_batcher.h
@@ -9,10 +9,10 @@
 
 namespace camphorferry::process {
 
-/// Asks one replica whether it holds entries, for all statements that wait for
-/// it, over a single connection with one call at a time. An answer for a later
-/// entry of the same term settles all earlier ones, so the number of calls does
-/// not grow with the number of writes.
+/// Batches the confirm requests of all statements that wait for one replica: a
+/// single connection with one call at a time. A response for a later entry of
+/// the same term resolves all earlier ones, so the number of calls does not
+/// grow with the number of writes.
 class ConfirmBatcher {
  public:
   using Callback = std::function<void(connection::ConfirmReply)>;
@@ -20,8 +20,8 @@
   ConfirmBatcher(connection::EventLoop* loop,
                  connection::SocketAddress address);
 
-  /// Calls back once the replica holds the entry, has left its term, or the
-  /// wait is over.
+  /// Calls back once the replica holds the entry, has left its term or is
+  /// fenced above it, when the deadline has passed, or when the call fails.
   void Add(common::LogPosition position, common::SteadyTime deadline,
            Callback done);
 
@@ -32,14 +32,14 @@
     Callback done;
   };
 
-  void Ask();
+  void SendRequest();
   void OnReply(const connection::ConfirmReply& reply);
 
   connection::EventLoop* loop;
   connection::SocketAddress address;
   std::unique_ptr<connection::HttpEndpointLink> link;
   std::vector<Waiter> waiters;
-  bool asking = false;
+  bool request_pending = false;
 };
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/counters.h
+++ b/Source/Core/Process/counters.h
@@ -7,22 +7,23 @@
 
 namespace camphorferry::process {
 
-/// Named counters of one process. Only its event loop's thread uses them.
+/// Named counters and gauges of one process. Not thread-safe: only the event
+/// loop's thread uses them.
 class Counters {
  public:
-  /// Adds to a counter, which starts at zero.
+  /// Adds to a counter. Counters start at zero.
   void Add(const std::string& name, std::int64_t amount = 1);
 
-  /// Sets a counter that reports a present state.
+  /// Sets the value of a gauge.
   void Set(const std::string& name, std::int64_t value);
 
-  /// Value of a counter; zero if it was never used.
+  /// Value of a counter; zero if it was never set.
   std::int64_t Value(const std::string& name) const;
 
   /// One line "name value" for each counter, sorted by name.
   std::string ToText() const;
 
-  /// A JSON object of all counters.
+  /// All counters as a JSON object.
   std::string ToJson() const;
 
  private:
--- a/Source/Core/Process/daemon.cc
+++ b/Source/Core/Process/daemon.cc
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr std::size_t kEventCapacity = 4096;
+constexpr std::size_t kEventLogCapacity = 4096;
 constexpr std::chrono::milliseconds kStoreTimeout(1000);
-/// Longest time from the start of a shutdown to the end of the process.
-constexpr std::chrono::seconds kMaxDrain(30);
-/// A slot is released 5.05 s after its last use, when no loan from it can run.
+/// Maximum time from the start of a shutdown to the end of the process.
+constexpr std::chrono::seconds kMaxDrainTime(30);
+/// Slots are released 5.05 s after their last use, when no loan from them can
+/// still run.
 constexpr std::chrono::seconds kSlotReleaseLimit(10);
 constexpr std::chrono::milliseconds kIdleCheckInterval(20);
 
@@ -27,20 +28,21 @@
 Daemon::Daemon(const Settings& settings)
     : settings(settings),
       incarnation(NewIncarnation()),
-      events(settings.host, kEventCapacity),
+      events(settings.host, kEventLogCapacity),
       store(&this->loop, settings.store, kStoreTimeout),
       peers(&this->loop, &this->events),
       membership(settings.host, settings.domain, this->incarnation,
                  common::SteadyNow()),
       router(&this->loop, settings.host, &this->membership, &this->peers,
              &this->counters),
-      owner(&this->loop, &this->events, &this->counters, &this->primaries,
-            settings.host.Value() + "." + std::to_string(this->incarnation),
-            [this](const common::EndpointId& endpoint,
-                   common::LogPosition position, common::Duration wait,
-                   ConfirmBatcher::Callback done) {
-              this->router.Confirm(endpoint, position, wait, std::move(done));
-            }),
+      endpoint_owner(
+          &this->loop, &this->events, &this->counters, &this->primaries,
+          settings.host.Value() + "." + std::to_string(this->incarnation),
+          [this](const common::EndpointId& endpoint,
+                 common::LogPosition position, common::Duration wait,
+                 ConfirmBatcher::Callback done) {
+            this->router.Confirm(endpoint, position, wait, std::move(done));
+          }),
       rates(&this->loop, &this->store, &this->peers, &this->events,
             &this->counters, settings.host, this->incarnation, settings.domain),
       configuration(&this->loop, &this->store, &this->peers, &this->events,
@@ -58,29 +60,30 @@
              this->configuration.OnPeerVersion(peer, version);
            },
            [this] { this->OnMembershipRound(); }}) {
-  this->router.SetOwner(&this->owner);
-  this->requests.loop = &this->loop;
-  this->requests.rates = &this->rates;
-  this->requests.primaries = &this->primaries;
-  this->requests.router = &this->router;
-  this->requests.counters = &this->counters;
-  this->requests.session_secrets = settings.session_secrets;
-  this->requests.home_domain = settings.domain;
+  this->router.SetLocalOwner(&this->endpoint_owner);
+  this->request_context.loop = &this->loop;
+  this->request_context.rates = &this->rates;
+  this->request_context.primaries = &this->primaries;
+  this->request_context.router = &this->router;
+  this->request_context.counters = &this->counters;
+  this->request_context.session_secrets = settings.session_secrets;
+  this->request_context.home_domain = settings.domain;
   this->peer_server = std::make_unique<GrpcPeerServer>(
       &this->loop, settings.peers, &this->events, this);
-  this->operators = std::make_unique<OperatorHttpServer>(
+  this->operator_server = std::make_unique<OperatorHttpServer>(
       &this->loop, settings.operators, &this->store, &this->configuration,
       &this->counters, &this->events,
       OperatorCallbacks{[this] { return this->Status(); },
                         [this] { this->StartDrain(); },
                         [this] { this->RefreshCounters(); }});
-  this->clients = std::make_unique<ClientHttpServer>(
-      &this->loop, settings.clients, &this->requests,
+  this->client_server = std::make_unique<ClientHttpServer>(
+      &this->loop, settings.clients, &this->request_context,
       [this] { return this->Ready(); });
 }
 
 Daemon::~Daemon() {
-  // gRPC's threads post to the loop, so they end before it does.
+  // gRPC's threads post to the event loop, so they must stop before it is
+  // destroyed.
   this->peer_server->Shutdown(common::Duration::zero());
 }
 
@@ -101,13 +104,13 @@
 
 void Daemon::OnExecute(connection::StatementCall call,
                        std::function<void(connection::StatementReply)> done) {
-  this->owner.Execute(std::move(call), std::move(done));
+  this->endpoint_owner.Execute(std::move(call), std::move(done));
 }
 
 void Daemon::OnConfirm(const common::EndpointId& endpoint,
                        common::LogPosition position, common::Duration wait,
                        std::function<void(connection::ConfirmReply)> done) {
-  this->owner.Confirm(endpoint, position, wait, std::move(done));
+  this->endpoint_owner.Confirm(endpoint, position, wait, std::move(done));
 }
 
 HeartbeatExchange Daemon::OnHeartbeat(const HeartbeatExchange& exchange) {
@@ -129,10 +132,11 @@
 }
 
 void Daemon::OnConfiguration(const version::ConfigurationPointer& current) {
-  this->requests.configuration = current;
-  this->requests.keys = std::make_shared<const version::KeyRing>(*current);
+  this->request_context.configuration = current;
+  this->request_context.keys =
+      std::make_shared<const version::KeyRing>(*current);
   this->router.SetConfiguration(current);
-  this->owner.SetConfiguration(current);
+  this->endpoint_owner.SetConfiguration(current);
   this->rates.SetConfiguration(current);
   this->UpdateOwnership();
 }
@@ -140,18 +144,18 @@
 void Daemon::OnMembershipRound() {
   std::set<common::HostId> domain_peers;
   std::vector<common::HostId> lenders;
-  std::vector<common::HostId> far_lenders;
+  std::vector<common::HostId> remote_lenders;
   std::set<common::HostId> domain_hosts = {this->settings.host};
   std::set<common::HostId> live;
   for (const auto& [peer, domain] : this->membership_task.KnownPeers()) {
-    const bool near = domain == this->settings.domain;
-    if (near) domain_peers.insert(peer);
-    if (near) domain_hosts.insert(peer);
+    const bool same_domain = domain == this->settings.domain;
+    if (same_domain) domain_peers.insert(peer);
+    if (same_domain) domain_hosts.insert(peer);
     if (!this->membership.IsLive(peer, common::SteadyNow())) continue;
     live.insert(peer);
-    (near ? lenders : far_lenders).push_back(peer);
+    (same_domain ? lenders : remote_lenders).push_back(peer);
   }
-  lenders.insert(lenders.end(), far_lenders.begin(), far_lenders.end());
+  lenders.insert(lenders.end(), remote_lenders.begin(), remote_lenders.end());
   this->configuration.SetDomainPeers(domain_peers);
   this->rates.SetDomainHosts(domain_hosts);
   this->rates.SetLenders(std::move(lenders));
@@ -161,15 +165,15 @@
                                   this->settings.host) != watchers.end();
   this->configuration.SetWatching(watching);
   this->membership_task.SetWatching(watching);
-  if (!this->announced_live && this->Ready()) {
-    this->announced_live = true;
+  if (!this->reported_live && this->Ready()) {
+    this->reported_live = true;
     this->events.Record(common::WallNow(), common::Subsystem::kProcess,
                         "daemon_ready", {});
     this->membership_task.SetState(PeerState::kLive);
     return;
   }
-  // Finding the owner of every endpoint takes time that grows with the number
-  // of services, so it is done only when the live daemons have changed.
+  // Computing the owner of every endpoint takes time that grows with the number
+  // of services, so it is done only when the set of live daemons has changed.
   const bool self_live =
       this->membership.IsLive(this->settings.host, common::SteadyNow());
   if (self_live) live.insert(this->settings.host);
@@ -191,17 +195,17 @@
     owners.erase(common::HostId());
     const std::vector<common::HostId> order = common::RendezvousOrder(
         id.Value(), std::vector<common::HostId>(owners.begin(), owners.end()));
-    const auto place =
+    const auto position =
         std::find(order.begin(), order.end(), this->settings.host);
-    ownership[id].rank = static_cast<std::size_t>(place - order.begin());
+    ownership[id].rank = static_cast<std::size_t>(position - order.begin());
   }
-  this->owner.SetOwnership(ownership);
+  this->endpoint_owner.SetOwnership(ownership);
 }
 
 bool Daemon::Ready() const {
   return this->configuration.Ready() &&
          this->configuration.Current() != nullptr && this->rates.Started() &&
-         !this->requests.draining;
+         !this->request_context.draining;
 }
 
 nlohmann::json Daemon::Status() const {
@@ -221,7 +225,7 @@
   return {{"host", this->settings.host.Value()},
           {"domain", this->settings.domain.Value()},
           {"ready", this->Ready()},
-          {"draining", this->requests.draining},
+          {"draining", this->request_context.draining},
           {"configuration_version", current == nullptr ? 0 : current->version},
           {"rate_slots", this->rates.HeldSlots()},
           {"primaries", std::move(primaries)},
@@ -231,24 +235,24 @@
 void Daemon::RefreshCounters() {
   this->counters.Set(
       "client_connections",
-      static_cast<std::int64_t>(this->clients->OpenConnections()));
+      static_cast<std::int64_t>(this->client_server->OpenConnections()));
   this->counters.Set(
       "client_requests_active",
-      static_cast<std::int64_t>(this->clients->ActiveRequests()));
+      static_cast<std::int64_t>(this->client_server->ActiveRequests()));
   this->counters.Set("rate_slots_held",
                      static_cast<std::int64_t>(this->rates.HeldSlots()));
 }
 
 void Daemon::StartDrain() {
-  if (this->requests.draining) return;
-  this->requests.draining = true;
-  this->drain_deadline = common::SteadyNow() + kMaxDrain;
+  if (this->request_context.draining) return;
+  this->request_context.draining = true;
+  this->drain_deadline = common::SteadyNow() + kMaxDrainTime;
   this->events.Record(common::WallNow(), common::Subsystem::kProcess,
                       "drain_started", {});
   this->membership_task.SetState(PeerState::kDraining);
-  // The load balancer needs this time to notice that the daemon is not ready.
+  // The load balancer needs this time to detect that the daemon is not ready.
   this->drain_timer = this->loop.After(this->settings.shutdown_notice, [this] {
-    this->clients->StopListening();
+    this->client_server->StopListening();
     this->rates.Drain(kSlotReleaseLimit, [this] { this->FinishDrain(); });
   });
 }
@@ -259,7 +263,8 @@
 }
 
 void Daemon::StopWhenIdle() {
-  const bool idle = this->clients->ActiveRequests() == 0 && this->owner.Idle();
+  const bool idle =
+      this->client_server->ActiveRequests() == 0 && this->endpoint_owner.Idle();
   if (!idle && common::SteadyNow() < this->drain_deadline) return;
   this->events.Record(common::WallNow(), common::Subsystem::kProcess,
                       "daemon_stopped", {{"idle", idle ? "yes" : "no"}});
--- a/Source/Core/Process/daemon.h
+++ b/Source/Core/Process/daemon.h
@@ -18,18 +18,18 @@
 
 namespace camphorferry::process {
 
-/// All tasks of one daemon and what passes between them.
+/// The daemon process: creates all servers and tasks and connects them.
 class Daemon : public PeerHandler {
  public:
   /// Opens the listeners; throws ListenError or PeerListenError.
   explicit Daemon(const Settings& settings);
   ~Daemon() override;
 
-  /// Runs until a shutdown is complete.
+  /// Runs the event loop until a shutdown is complete.
   void Run();
 
-  std::uint16_t ClientPort() const { return this->clients->Port(); }
-  std::uint16_t OperatorPort() const { return this->operators->Port(); }
+  std::uint16_t ClientPort() const { return this->client_server->Port(); }
+  std::uint16_t OperatorPort() const { return this->operator_server->Port(); }
   std::uint16_t PeerPort() const { return this->peer_server->Port(); }
 
   void OnExecute(connection::StatementCall call,
@@ -46,7 +46,7 @@
 
  private:
   void OnConfiguration(const version::ConfigurationPointer& configuration);
-  /// Derives ownership, watchers and lenders from the present membership.
+  /// Updates ownership, watchers and lenders after a heartbeat round.
   void OnMembershipRound();
   void UpdateOwnership();
   bool Ready() const;
@@ -66,16 +66,16 @@
   Membership membership;
   PrimaryDirectory primaries;
   StatementRouter router;
-  EndpointOwner owner;
+  EndpointOwner endpoint_owner;
   RateLimitTask rates;
   ConfigurationTask configuration;
   MembershipTask membership_task;
-  RequestContext requests;
+  RequestContext request_context;
   std::unique_ptr<GrpcPeerServer> peer_server;
-  std::unique_ptr<ClientHttpServer> clients;
-  std::unique_ptr<OperatorHttpServer> operators;
-  bool announced_live = false;
-  /// Live daemons at the last update of ownership.
+  std::unique_ptr<ClientHttpServer> client_server;
+  std::unique_ptr<OperatorHttpServer> operator_server;
+  bool reported_live = false;
+  /// Live daemons at the last ownership update.
   std::set<common::HostId> live_hosts;
   common::SteadyTime drain_deadline;
   std::unique_ptr<connection::Timer> drain_timer;
--- a/Source/Core/Process/endpoint_directory.cc
+++ b/Source/Core/Process/endpoint_directory.cc
@@ -4,10 +4,10 @@
 
 namespace {
 
-/// How long an endpoint that did not answer is tried last.
+/// An endpoint that did not respond is tried last for this long.
 constexpr std::chrono::seconds kAvoidPeriod(1);
 
-bool GaveNoAnswer(const request::Outcome& outcome) {
+bool IsUnanswered(const request::Outcome& outcome) {
   if (std::holds_alternative<request::Unknown>(outcome)) return true;
   const auto* not_run = std::get_if<request::NotRun>(&outcome);
   return not_run != nullptr &&
@@ -16,18 +16,18 @@
 
 }  // namespace
 
-void EndpointDirectory::Learn(const common::EndpointId& endpoint,
-                              const connection::StatementReply& reply,
-                              common::SteadyTime now) {
+void EndpointDirectory::Update(const common::EndpointId& endpoint,
+                               const connection::StatementReply& reply,
+                               common::SteadyTime now) {
   Entry& entry = this->entries[endpoint];
-  if (GaveNoAnswer(reply.outcome)) {
+  if (IsUnanswered(reply.outcome)) {
     entry.avoid_until = now + kAvoidPeriod;
     return;
   }
   const auto* done = std::get_if<request::Done>(&reply.outcome);
   if (done == nullptr) return;
   entry.position = done->position;
-  entry.learned = now;
+  entry.updated_at = now;
   entry.avoid_until = common::SteadyTime();
 }
 
--- a/Source/Core/Process/endpoint_directory.h
+++ b/Source/Core/Process/endpoint_directory.h
@@ -8,21 +8,23 @@
 
 namespace camphorferry::process {
 
-/// What this daemon has learned about endpoints from the answers that passed
-/// through it. It is soft state: each endpoint checks position and age itself.
+/// Last known state of the endpoints, derived from the replies that passed
+/// through this daemon. An outdated entry does no harm: each endpoint checks
+/// position and age itself.
 class EndpointDirectory {
  public:
-  /// Last position that an endpoint reported, and when.
+  /// Last position that an endpoint reported, and when it was received.
   struct Entry {
     common::LogPosition position;
-    std::optional<common::SteadyTime> learned;
-    /// The endpoint or its owner did not answer; it is tried last until then.
+    std::optional<common::SteadyTime> updated_at;
+    /// Set after the endpoint or its owner did not respond; the endpoint is
+    /// tried last until then.
     common::SteadyTime avoid_until;
   };
 
-  /// Takes the reply to a call.
-  void Learn(const common::EndpointId& endpoint,
-             const connection::StatementReply& reply, common::SteadyTime now);
+  /// Updates the endpoint's entry from the reply to a call.
+  void Update(const common::EndpointId& endpoint,
+              const connection::StatementReply& reply, common::SteadyTime now);
 
   const Entry& Find(const common::EndpointId& endpoint) const;
 
--- a/Source/Core/Process/endpoint_owner.cc
+++ b/Source/Core/Process/endpoint_owner.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How long a write waits at the owner for a promotion that is under way.
+/// Maximum time that a write waits at the owner for a promotion in progress.
 constexpr std::chrono::seconds kMaxPromotionWait(3);
 constexpr std::chrono::milliseconds kPromotionCheckInterval(20);
 
@@ -46,13 +46,13 @@
         kept->second == service) {
       continue;
     }
-    // Tasks of a changed service are made anew on their next use.
+    // The pools of a changed service are recreated on their next use.
     for (const version::Endpoint& endpoint : service.endpoints) {
-      const auto task = this->tasks.extract(endpoint.id);
-      if (!task.empty()) this->Drop(std::move(task.mapped()));
+      const auto pool = this->pools.extract(endpoint.id);
+      if (!pool.empty()) this->DestroyLater(std::move(pool.mapped()));
     }
     const auto failover = this->failovers.extract(id);
-    if (!failover.empty()) this->Drop(std::move(failover.mapped()));
+    if (!failover.empty()) this->DestroyLater(std::move(failover.mapped()));
   }
 }
 
@@ -63,7 +63,7 @@
       ++entry;
       continue;
     }
-    this->Drop(std::move(entry->second));
+    this->DestroyLater(std::move(entry->second));
     entry = this->failovers.erase(entry);
   }
   for (const auto& [service, owned] : ownership) {
@@ -84,11 +84,11 @@
 
 void EndpointOwner::Execute(connection::StatementCall call,
                             EndpointPool::Callback done) {
-  ++this->unfinished;
-  EndpointPool::Callback counted =
+  ++this->active_statements;
+  EndpointPool::Callback counting_done =
       [this, service = call.service,
        done = std::move(done)](connection::StatementReply reply) {
-        --this->unfinished;
+        --this->active_statements;
         if (reply.primary.endpoint.Empty()) {
           const FailoverTask* failover = this->FailoverOf(service);
           if (failover != nullptr) reply.primary = failover->Primary();
@@ -96,16 +96,17 @@
         done(std::move(reply));
       };
   if (!call.is_write) {
-    this->Run(std::move(call), std::move(counted));
+    this->Run(std::move(call), std::move(counting_done));
     return;
   }
-  const common::SteadyTime until =
+  const common::SteadyTime promotion_deadline =
       std::min(call.deadline, common::SteadyNow() + kMaxPromotionWait);
-  this->ExecuteWrite(std::move(call), until, std::move(counted));
+  this->ExecuteWrite(std::move(call), promotion_deadline,
+                     std::move(counting_done));
 }
 
 void EndpointOwner::ExecuteWrite(connection::StatementCall call,
-                                 common::SteadyTime until,
+                                 common::SteadyTime promotion_deadline,
                                  EndpointPool::Callback done) {
   const FailoverTask* failover = this->FailoverOf(call.service);
   if (failover == nullptr) {
@@ -114,24 +115,26 @@
   }
   const connection::PrimaryHint primary = failover->Primary();
   if (primary.endpoint.Empty()) {
-    if (common::SteadyNow() >= until) {
+    if (common::SteadyNow() >= promotion_deadline) {
       done(NotRun(request::NotRunReason::kNoPrimary, primary));
       return;
     }
-    // Nothing was sent, so waiting here for the promotion costs no retry.
-    this->loop->RunLater(
-        kPromotionCheckInterval, [this, call = std::move(call), until,
-                                  done = std::move(done)]() mutable {
-          this->ExecuteWrite(std::move(call), until, std::move(done));
-        });
+    // Nothing has been sent, so waiting here for the promotion costs no retry.
+    this->loop->RunLater(kPromotionCheckInterval,
+                         [this, call = std::move(call), promotion_deadline,
+                          done = std::move(done)]() mutable {
+                           this->ExecuteWrite(std::move(call),
+                                              promotion_deadline,
+                                              std::move(done));
+                         });
     return;
   }
   if (primary.endpoint != call.endpoint) {
     done(NotRun(request::NotRunReason::kNotPrimary, primary));
     return;
   }
-  if (!failover->MayConfirm()) {
-    // Without a replica the outcome could only be unknown.
+  if (!failover->HasNonSuspectReplica()) {
+    // Without a replica that confirms, the outcome could only be unknown.
     done(NotRun(request::NotRunReason::kNoPrimary, primary));
     return;
   }
@@ -141,25 +144,25 @@
 
 void EndpointOwner::Run(connection::StatementCall call,
                         EndpointPool::Callback done) {
-  EndpointPool* task = this->TaskOf(call.endpoint);
-  if (task == nullptr) {
+  EndpointPool* pool = this->PoolOf(call.endpoint);
+  if (pool == nullptr) {
     done(NotRun(request::NotRunReason::kEndpointUnreachable, {}));
     return;
   }
   const connection::StatementCall sent = call;
-  task->Execute(std::move(call), [this, sent, done = std::move(done)](
+  pool->Execute(std::move(call), [this, sent, done = std::move(done)](
                                      connection::StatementReply reply) {
     if (NeedsAcknowledgement(sent, reply)) {
-      this->Acknowledge(sent, std::move(reply), done);
+      this->AwaitAcknowledgement(sent, std::move(reply), done);
       return;
     }
     done(std::move(reply));
   });
 }
 
-void EndpointOwner::Acknowledge(const connection::StatementCall& call,
-                                connection::StatementReply reply,
-                                EndpointPool::Callback done) {
+void EndpointOwner::AwaitAcknowledgement(const connection::StatementCall& call,
+                                         connection::StatementReply reply,
+                                         EndpointPool::Callback done) {
   const auto service = this->configuration->services.find(call.service);
   std::vector<common::EndpointId> replicas;
   if (service != this->configuration->services.end()) {
@@ -167,11 +170,11 @@
       if (endpoint.id != call.endpoint) replicas.push_back(endpoint.id);
     }
   }
-  const ExecutedStatement execution{
+  const ExecutedStatement statement{
       call.endpoint, reply.term,
       std::get<request::Done>(reply.outcome).position};
   const auto task = std::make_shared<AcknowledgementTask>(
-      this->loop, execution, replicas, call.deadline, this->confirm_router,
+      this->loop, statement, replicas, call.deadline, this->confirm_router,
       [this, is_write = call.is_write, reply = std::move(reply),
        done = std::move(done)](bool acknowledged) mutable {
         if (acknowledged) {
@@ -183,7 +186,7 @@
           reply.outcome =
               request::Unknown{request::UnknownReason::kNotConfirmed};
         } else {
-          // An unconfirmed read changed nothing and may be made again.
+          // An unconfirmed read changed nothing and may be repeated.
           reply.outcome =
               request::NotRun{request::NotRunReason::kNoPrimary, std::nullopt};
         }
@@ -195,31 +198,31 @@
 void EndpointOwner::Confirm(const common::EndpointId& endpoint,
                             common::LogPosition position, common::Duration wait,
                             ConfirmBatcher::Callback done) {
-  EndpointPool* task = this->TaskOf(endpoint);
-  if (task == nullptr) {
+  EndpointPool* pool = this->PoolOf(endpoint);
+  if (pool == nullptr) {
     done(connection::ConfirmReply{});
     return;
   }
-  task->Confirm(position, common::SteadyNow() + wait, std::move(done));
+  pool->Confirm(position, common::SteadyNow() + wait, std::move(done));
 }
 
-bool EndpointOwner::Idle() const { return this->unfinished == 0; }
+bool EndpointOwner::Idle() const { return this->active_statements == 0; }
 
-EndpointPool* EndpointOwner::TaskOf(const common::EndpointId& endpoint) {
-  const auto found = this->tasks.find(endpoint);
-  if (found != this->tasks.end()) return found->second.get();
+EndpointPool* EndpointOwner::PoolOf(const common::EndpointId& endpoint) {
+  const auto found = this->pools.find(endpoint);
+  if (found != this->pools.end()) return found->second.get();
   if (this->configuration == nullptr) return nullptr;
   for (const auto& [service_id, service] : this->configuration->services) {
     for (const version::Endpoint& declared : service.endpoints) {
       if (declared.id != endpoint) continue;
-      auto task = std::make_unique<EndpointPool>(
+      auto pool = std::make_unique<EndpointPool>(
           this->loop, declared, service, this->events, this->counters,
           [this, service_id = service_id,
            endpoint](const connection::StatementReply* reply) {
             FailoverTask* failover = this->FailoverOf(service_id);
-            if (failover != nullptr) failover->Observe(endpoint, reply);
+            if (failover != nullptr) failover->ObserveReply(endpoint, reply);
           });
-      return (this->tasks[endpoint] = std::move(task)).get();
+      return (this->pools[endpoint] = std::move(pool)).get();
     }
   }
   return nullptr;
@@ -230,16 +233,16 @@
   return found == this->failovers.end() ? nullptr : found->second.get();
 }
 
-void EndpointOwner::Drop(std::unique_ptr<EndpointPool> task) {
-  // Statements that run on the task still have to end.
+void EndpointOwner::DestroyLater(std::unique_ptr<EndpointPool> pool) {
+  // Statements that run in the pool have to finish first.
   constexpr std::chrono::seconds kLongestStatement(30);
   this->loop->RunLater(
       kLongestStatement,
-      [task = std::shared_ptr<EndpointPool>(std::move(task))] {});
+      [pool = std::shared_ptr<EndpointPool>(std::move(pool))] {});
 }
 
-void EndpointOwner::Drop(std::unique_ptr<FailoverTask> task) {
-  // The task may be dropped from within one of its own callbacks.
+void EndpointOwner::DestroyLater(std::unique_ptr<FailoverTask> task) {
+  // This may be called from within one of the task's own callbacks.
   this->loop->Post([task = std::shared_ptr<FailoverTask>(std::move(task))] {});
 }
 
--- a/Source/Core/Process/endpoint_pool.cc
+++ b/Source/Core/Process/endpoint_pool.cc
@@ -7,19 +7,20 @@
 
 namespace {
 
-/// How often expired requests and silent connections are looked for.
+/// Interval of the check for expired requests and unresponsive connections.
 constexpr std::chrono::milliseconds kTickInterval(20);
-/// Connections beyond the slots, so that a statement is ready when a slot
-/// becomes free.
+/// Connections in addition to the slots, so that a statement can start as soon
+/// as a slot becomes free.
 constexpr std::size_t kSpareConnections = 2;
-/// An owner uses at most this part of an endpoint's connections, so that a
-/// second daemon that also takes itself for the owner can still connect.
-constexpr std::size_t kConnectionShare = 4;
+/// An owner uses at most 1 / kConnectionShareDivisor of an endpoint's
+/// connections, so that a second daemon that also considers itself the owner
+/// can still connect.
+constexpr std::size_t kConnectionShareDivisor = 4;
 constexpr std::uint32_t kStatementCost = 1;
 
-std::size_t MaxLanes(const version::Service& service) {
+std::size_t MaxConnections(const version::Service& service) {
   const std::size_t wanted = service.slots + kSpareConnections;
-  const std::size_t allowed = service.connections / kConnectionShare;
+  const std::size_t allowed = service.connections / kConnectionShareDivisor;
   return std::max<std::size_t>(1, std::min(wanted, allowed));
 }
 
@@ -45,12 +46,12 @@
     : loop(loop),
       endpoint(endpoint),
       address(connection::ParseSocketAddress(endpoint.address)),
-      max_lanes(MaxLanes(service)),
+      max_connections(MaxConnections(service)),
       events(events),
       counters(counters),
       observer(std::move(observer)),
       queue(service.slots),
-      confirms(loop, this->address) {
+      confirm_batcher(loop, this->address) {
   this->tick = loop->Every(kTickInterval, [this] { this->OnTick(); });
 }
 
@@ -67,9 +68,9 @@
   Queue::PushResult pushed = this->queue.Push(
       workspace, weight, deadline, kStatementCost,
       Pending{std::move(call), std::move(done)}, common::SteadyNow());
-  if (auto* refused = std::get_if<Queue::Refused>(&pushed)) {
+  if (auto* rejected = std::get_if<Queue::Refused>(&pushed)) {
     this->counters->Add("endpoint_queue_refused");
-    refused->item.done({refused->outcome, 0});
+    rejected->item.done({rejected->outcome, 0});
     return;
   }
   auto& queued = std::get<Queue::Queued>(pushed);
@@ -77,24 +78,25 @@
     this->counters->Add("endpoint_queue_evicted");
     queued.evicted->item.done({queued.evicted->outcome, 0});
   }
-  this->Pump();
+  this->Dispatch();
 }
 
 void EndpointPool::Confirm(common::LogPosition position,
                            common::SteadyTime deadline,
                            ConfirmBatcher::Callback done) {
-  this->confirms.Add(position, deadline, std::move(done));
+  this->confirm_batcher.Add(position, deadline, std::move(done));
 }
 
 bool EndpointPool::Idle() const {
-  return this->running == 0 && !this->queue.EarliestDeadline().has_value();
+  return this->running_statements == 0 &&
+         !this->queue.EarliestDeadline().has_value();
 }
 
-void EndpointPool::Pump() {
-  while (Lane* lane = this->FreeLane()) {
+void EndpointPool::Dispatch() {
+  while (PooledConnection* pooled = this->AcquireConnection()) {
     std::optional<Pending> pending = this->PopReady();
     if (!pending) return;
-    this->Run(lane, std::move(*pending));
+    this->ExecuteOn(pooled, std::move(*pending));
   }
 }
 
@@ -105,78 +107,82 @@
       return std::move(ready->item);
     }
     if (std::holds_alternative<Queue::Empty>(popped)) return std::nullopt;
-    auto& shed = std::get<Queue::Shed>(popped);
+    auto& expired = std::get<Queue::Shed>(popped);
     this->counters->Add("endpoint_deadline_passed");
-    shed.item.done({shed.outcome, 0});
+    expired.item.done({expired.outcome, 0});
   }
 }
 
-EndpointPool::Lane* EndpointPool::FreeLane() {
-  for (const auto& lane : this->lanes) {
-    if (!lane->done && this->monitor.MayUse(lane->id)) return lane.get();
+EndpointPool::PooledConnection* EndpointPool::AcquireConnection() {
+  for (const auto& pooled : this->connections) {
+    if (!pooled->done && this->monitor.MayUse(pooled->id)) return pooled.get();
   }
-  if (this->lanes.size() >= this->max_lanes) return nullptr;
-  auto lane = std::make_unique<Lane>();
-  lane->id = this->next_link++;
-  lane->link =
+  if (this->connections.size() >= this->max_connections) return nullptr;
+  auto pooled = std::make_unique<PooledConnection>();
+  pooled->id = this->next_link_id++;
+  pooled->link =
       std::make_unique<connection::HttpEndpointLink>(this->loop, this->address);
   this->counters->Add("endpoint_connections_opened");
-  this->lanes.push_back(std::move(lane));
-  return this->lanes.back().get();
+  this->connections.push_back(std::move(pooled));
+  return this->connections.back().get();
 }
 
-EndpointPool::Lane* EndpointPool::FindLane(connection::LinkId id) {
+EndpointPool::PooledConnection* EndpointPool::FindConnection(
+    connection::LinkId id) {
   const auto found =
-      std::find_if(this->lanes.begin(), this->lanes.end(),
-                   [id](const auto& lane) { return lane->id == id; });
-  return found == this->lanes.end() ? nullptr : found->get();
+      std::find_if(this->connections.begin(), this->connections.end(),
+                   [id](const auto& pooled) { return pooled->id == id; });
+  return found == this->connections.end() ? nullptr : found->get();
 }
 
-void EndpointPool::Run(Lane* lane, Pending pending) {
-  ++this->running;
-  lane->started = common::SteadyNow();
-  lane->done = std::move(pending.done);
+void EndpointPool::ExecuteOn(PooledConnection* pooled, Pending pending) {
+  ++this->running_statements;
+  pooled->started = common::SteadyNow();
+  pooled->done = std::move(pending.done);
   const std::string request_id = pending.call.request_id;
-  this->Handle(connection::LinkSent{lane->id, request_id});
-  lane->link->Execute(pending.call, pending.call.deadline - lane->started,
-                      [this, id = lane->id, request_id, alive = this->alive](
-                          const connection::StatementReply& reply) {
-                        if (*alive) this->OnReply(id, request_id, reply);
-                      });
+  this->Handle(connection::LinkSent{pooled->id, request_id});
+  pooled->link->Execute(
+      pending.call, pending.call.deadline - pooled->started,
+      [this, id = pooled->id, request_id,
+       alive = this->alive](const connection::StatementReply& reply) {
+        if (*alive) this->OnReply(id, request_id, reply);
+      });
 }
 
 void EndpointPool::OnReply(connection::LinkId id, const std::string& request_id,
                            const connection::StatementReply& reply) {
-  Lane* lane = this->FindLane(id);
-  if (lane == nullptr) return;
+  PooledConnection* pooled = this->FindConnection(id);
+  if (pooled == nullptr) return;
   const bool lost = IsLost(reply);
-  const bool usable = lane->link->Usable();
-  // The statement ends first, because the monitor may ask to close the lane.
-  this->End(lane, reply);
+  const bool usable = pooled->link->Usable();
+  // The statement is finished first, because the monitor may ask to close the
+  // connection.
+  this->FinishStatement(pooled, reply);
   if (lost) {
     this->Handle(connection::LinkAbandoned{id});
   } else {
     this->Handle(connection::LinkAnswered{id, request_id});
   }
-  if (!usable) this->RemoveLane(id);
-  this->Pump();
+  if (!usable) this->RemoveConnection(id);
+  this->Dispatch();
 }
 
-void EndpointPool::End(Lane* lane, const connection::StatementReply& reply) {
-  --this->running;
-  this->queue.Completed(common::SteadyNow() - lane->started);
-  const Callback done = std::exchange(lane->done, nullptr);
+void EndpointPool::FinishStatement(PooledConnection* pooled,
+                                   const connection::StatementReply& reply) {
+  --this->running_statements;
+  this->queue.Completed(common::SteadyNow() - pooled->started);
+  const Callback done = std::exchange(pooled->done, nullptr);
   this->observer(IsLost(reply) ? nullptr : &reply);
   done(reply);
 }
 
 void EndpointPool::OnTick() {
-  while (auto shed = this->queue.PopExpired(common::SteadyNow())) {
+  while (auto expired = this->queue.PopExpired(common::SteadyNow())) {
     this->counters->Add("endpoint_deadline_passed");
-    shed->item.done({shed->outcome, 0});
+    expired->item.done({expired->outcome, 0});
   }
   this->Handle(connection::LinkTick{});
-  this->Pump();
+  this->Dispatch();
 }
 
 void EndpointPool::Handle(const connection::LinkEvent& event) {
@@ -204,38 +210,39 @@
 }
 
 void EndpointPool::Perform(const connection::CloseLink& action) {
-  Lane* lane = this->FindLane(action.link);
-  if (lane == nullptr) return;
+  PooledConnection* pooled = this->FindConnection(action.link);
+  if (pooled == nullptr) return;
   this->events->Record(common::WallNow(), common::Subsystem::kConnection,
                        "endpoint_connection_closed",
                        {{"endpoint", this->endpoint.id}});
-  if (lane->done) {
-    // The request was sent, so it may have run.
-    this->End(lane,
-              {request::Unknown{request::UnknownReason::kConnectionLost}, 0});
+  if (pooled->done) {
+    // The request was sent, so it may have been executed.
+    this->FinishStatement(
+        pooled, {request::Unknown{request::UnknownReason::kConnectionLost}, 0});
   }
-  this->RemoveLane(action.link);
+  this->RemoveConnection(action.link);
 }
 
 void EndpointPool::Perform(const connection::MarkEndpointDown& /*action*/) {
   this->events->Record(common::WallNow(), common::Subsystem::kConnection,
                        "endpoint_down", {{"endpoint", this->endpoint.id}});
   this->observer(nullptr);
-  this->RefuseAll();
+  this->FailWaiting();
 }
 
-void EndpointPool::RefuseAll() {
+void EndpointPool::FailWaiting() {
   while (std::optional<Pending> pending = this->PopReady()) {
     this->queue.Completed(common::Duration::zero());
     pending->done(Unreachable());
   }
 }
 
-void EndpointPool::RemoveLane(connection::LinkId id) {
-  if (this->FindLane(id) == nullptr) return;
-  std::erase_if(this->lanes, [id](const std::unique_ptr<Lane>& lane) {
-    return lane->id == id;
-  });
+void EndpointPool::RemoveConnection(connection::LinkId id) {
+  if (this->FindConnection(id) == nullptr) return;
+  std::erase_if(this->connections,
+                [id](const std::unique_ptr<PooledConnection>& pooled) {
+                  return pooled->id == id;
+                });
   this->Handle(connection::LinkClosed{id});
 }
 
--- a/Source/Core/Process/endpoint_pool.h
+++ b/Source/Core/Process/endpoint_pool.h
@@ -14,13 +14,13 @@
 
 namespace camphorferry::process {
 
-/// Owns this daemon's statement connections to one endpoint and the queue in
-/// front of them.
+/// Connection pool of one endpoint, with the fair queue of the statements that
+/// wait for a connection.
 class EndpointPool {
  public:
   using Callback = std::function<void(connection::StatementReply)>;
-  /// Called with each statement reply, and with none for a lost connection, so
-  /// that failures are noticed without polling.
+  /// Called with each statement reply, and with a null pointer for a lost
+  /// connection, so that failures are detected without polling.
   using Observer = std::function<void(const connection::StatementReply*)>;
 
   EndpointPool(connection::EventLoop* loop, const version::Endpoint& endpoint,
@@ -30,15 +30,15 @@
   EndpointPool(const EndpointPool&) = delete;
   EndpointPool& operator=(const EndpointPool&) = delete;
 
-  /// Queues a statement by its workspace's weight and runs it on one of the
-  /// endpoint's connections.
+  /// Queues a statement by its workspace's weight and executes it on one of the
+  /// pool's connections.
   void Execute(connection::StatementCall call, Callback done);
 
-  /// Asks whether this endpoint, as a replica, holds an entry.
+  /// Asks whether this endpoint, as a replica, holds a log entry.
   void Confirm(common::LogPosition position, common::SteadyTime deadline,
                ConfirmBatcher::Callback done);
 
-  /// True if nothing waits or runs.
+  /// True if no statement is waiting or running.
   bool Idle() const;
 
   const version::Endpoint& Endpoint() const { return this->endpoint; }
@@ -48,8 +48,8 @@
     connection::StatementCall call;
     Callback done;
   };
-  /// One connection; it runs one statement at a time.
-  struct Lane {
+  /// A pooled connection. It executes one statement at a time.
+  struct PooledConnection {
     connection::LinkId id = 0;
     std::unique_ptr<connection::HttpEndpointLink> link;
     /// Set while a statement runs.
@@ -59,38 +59,39 @@
 
   using Queue = request::FairQueue<Pending>;
 
-  void Pump();
+  void Dispatch();
   std::optional<Pending> PopReady();
-  Lane* FreeLane();
-  Lane* FindLane(connection::LinkId id);
-  void Run(Lane* lane, Pending pending);
+  PooledConnection* AcquireConnection();
+  PooledConnection* FindConnection(connection::LinkId id);
+  void ExecuteOn(PooledConnection* pooled, Pending pending);
   void OnReply(connection::LinkId id, const std::string& request_id,
                const connection::StatementReply& reply);
-  /// Ends the lane's statement with a reply.
-  void End(Lane* lane, const connection::StatementReply& reply);
+  /// Finishes the connection's statement with a reply.
+  void FinishStatement(PooledConnection* pooled,
+                       const connection::StatementReply& reply);
   void OnTick();
   void Handle(const connection::LinkEvent& event);
   void Perform(const connection::OpenProbe& action);
   void Perform(const connection::CloseLink& action);
   void Perform(const connection::MarkEndpointDown& action);
-  void RefuseAll();
-  void RemoveLane(connection::LinkId id);
+  void FailWaiting();
+  void RemoveConnection(connection::LinkId id);
 
   connection::EventLoop* loop;
   version::Endpoint endpoint;
   connection::SocketAddress address;
-  std::size_t max_lanes;
+  std::size_t max_connections;
   EventLog* events;
   Counters* counters;
   Observer observer;
   Queue queue;
-  ConfirmBatcher confirms;
-  std::vector<std::unique_ptr<Lane>> lanes;
+  ConfirmBatcher confirm_batcher;
+  std::vector<std::unique_ptr<PooledConnection>> connections;
   connection::LinkMonitor monitor;
-  connection::LinkId next_link = 1;
-  std::size_t running = 0;
+  connection::LinkId next_link_id = 1;
+  std::size_t running_statements = 0;
   std::unique_ptr<connection::Timer> tick;
-  /// Cleared when the task ends, so that late answers are dropped.
+  /// Set to false when the pool is destroyed, so that late replies are dropped.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Source/Core/Process/event_log.cc
+++ b/Source/Core/Process/event_log.cc
@@ -20,11 +20,11 @@
   if (this->events.size() > this->capacity) this->events.pop_front();
 }
 
-void EventLog::Observe(common::HybridTime received) {
+void EventLog::MergeRemoteTime(common::HybridTime received) {
   this->clock.Observe(received);
 }
 
-common::HybridTime EventLog::Stamp(common::WallTime now) {
+common::HybridTime EventLog::Timestamp(common::WallTime now) {
   return this->clock.Now(now);
 }
 
--- a/Source/Core/Process/event_log.h
+++ b/Source/Core/Process/event_log.h
@@ -13,17 +13,18 @@
 
 namespace camphorferry::process {
 
-/// One event of the time line.
+/// One recorded event of this process.
 struct TimelineEvent {
-  /// Number of the event in its process, starting at 1.
+  /// Sequence number of the event in its process, starting at 1.
   std::uint64_t sequence = 0;
   common::HybridTime time = 0;
   std::string name;
   std::vector<common::LogField> fields;
 };
 
-/// Keeps the latest events of one process for the time line tool, since hosts
-/// have no disks, and writes each to the log.
+/// In-memory log of the latest events of one process. Hosts have no disks, so
+/// the time line tool fetches the events from here. Each event is also written
+/// to the process log.
 class EventLog {
  public:
   EventLog(common::HostId host, std::size_t capacity);
@@ -33,13 +34,14 @@
               std::string_view name,
               std::initializer_list<common::LogField> fields);
 
-  /// Merges the clock reading of a message that arrived.
-  void Observe(common::HybridTime received);
+  /// Advances the hybrid clock to the timestamp of a received message.
+  void MergeRemoteTime(common::HybridTime received);
 
-  /// Clock reading for a message that is sent now.
-  common::HybridTime Stamp(common::WallTime now);
+  /// Returns the hybrid timestamp for a message that is sent now.
+  common::HybridTime Timestamp(common::WallTime now);
 
-  /// JSON object with the host and the events after a sequence number.
+  /// Returns a JSON object with the host and the events after a sequence
+  /// number.
   nlohmann::json EventsAfter(std::uint64_t sequence) const;
 
  private:
--- a/Source/Core/Process/failover_coordinator.cc
+++ b/Source/Core/Process/failover_coordinator.cc
@@ -10,57 +10,59 @@
 
 using std::chrono::milliseconds;
 
-/// Three misses distinguish a dead primary from one lost packet or one slow
-/// statement, and still fit the target for the failover gap.
-constexpr int kSuspectMisses = 3;
-/// A refused connection fails at once; without a pause three refusals during
+/// Three missed polls tell a failed primary from one lost packet or one slow
+/// statement, and detection still fits the target for the failover gap.
+constexpr int kSuspectMissedPolls = 3;
+/// A refused connection fails at once. Without a delay, three refusals during
 /// one restart of a listener would already make an endpoint suspect.
 constexpr common::Duration kRefusedRetryDelay = milliseconds(50);
-/// While no primary is known, reachable databases are polled this often, so
-/// that daemons that didn't promote the next one learn of it early.
-constexpr common::Duration kUrgentInterval = milliseconds(50);
-/// The frequent polls end after this time: the group then lacks more than a
-/// promotion, and they would exceed the bound on control traffic.
-constexpr common::Duration kUrgentPeriod = std::chrono::seconds(5);
-/// Suspect endpoints are polled less often, since each poll takes one of the
-/// endpoint's scarce connections.
+/// Poll interval for reachable databases while no primary is known, so that
+/// daemons that did not promote the next primary learn of it early.
+constexpr common::Duration kFastPollInterval = milliseconds(50);
+/// Fast polling ends after this time: the group then lacks more than a
+/// promotion, and the polls would exceed the bound on control traffic.
+constexpr common::Duration kFastPollPeriod = std::chrono::seconds(5);
+/// Suspect endpoints are polled less often, since each poll uses one of the
+/// endpoint's limited connections.
 constexpr common::Duration kSuspectInterval = milliseconds(500);
-/// The caller reports a timeout itself; this only covers a lost report.
-constexpr common::Duration kReportMargin = milliseconds(50);
-/// A gap between events that shows that this process was paused. Ticks come at
-/// least every 100 ms.
+/// The caller reports poll timeouts itself. The margin only covers the case
+/// that its report is lost.
+constexpr common::Duration kPollReportMargin = milliseconds(50);
+/// A gap between events that indicates that this process was paused. Ticks
+/// arrive at least every 100 ms.
 constexpr common::Duration kPauseThreshold = milliseconds(500);
-/// Covers a new connection (12 ms) and a round trip between regions (40 ms)
-/// several times.
+/// Covers several times a new connection (12 ms) and a round trip between
+/// regions (40 ms).
 constexpr common::Duration kFenceTimeout = milliseconds(300);
 constexpr common::Duration kPromoteTimeout = milliseconds(300);
 constexpr common::Duration kFollowTimeout = milliseconds(300);
 constexpr common::Duration kFollowRetryDelay = milliseconds(200);
-/// After a majority has granted, reachable databases get this long to grant as
-/// well: one of them may hold more unacknowledged writes.
-constexpr common::Duration kThirdGrantWait = milliseconds(100);
-/// A fence of another coordinator shows a round in progress, which gets this
-/// long to finish.
-constexpr common::Duration kOtherRoundWait = milliseconds(400);
-/// A replica that was fenced by an abandoned round is repaired by a promotion,
-/// which interrupts writes for a moment, so it is delayed in case another
-/// coordinator is about to promote anyway.
+/// After a majority has granted the fence, the coordinator waits this long for
+/// the other reachable databases, because one of them may hold more
+/// unacknowledged writes.
+constexpr common::Duration kAdditionalGrantWait = milliseconds(100);
+/// A fence of another coordinator indicates a round in progress, which gets
+/// this long to finish.
+constexpr common::Duration kConcurrentRoundWait = milliseconds(400);
+/// A replica fenced by an abandoned round is repaired by a promotion, which
+/// briefly interrupts writes. The repair is delayed in case another coordinator
+/// is about to promote anyway.
 constexpr common::Duration kRepairDelay = std::chrono::seconds(1);
-constexpr common::Duration kFirstBackoff = milliseconds(100);
+constexpr common::Duration kInitialBackoff = milliseconds(100);
 constexpr std::uint32_t kMaxBackoffDoublings = 3;
-/// Daemons that reach different databases may replace each other's primary
-/// again and again. A primary that was announced less than this long after the
-/// one before it counts as a quick change.
-constexpr common::Duration kQuickChange = std::chrono::seconds(10);
-/// Quick changes that are taken for separate failures and cost no delay.
-constexpr std::uint32_t kFreeQuickChanges = 1;
-/// Delay after the first quick change above that; it doubles with each further
-/// one, three times at most.
-constexpr common::Duration kQuickChangeDelay = milliseconds(500);
-constexpr std::uint32_t kMaxDelayDoublings = 3;
-/// Spread of the part of the backoff that depends on the proposer. It separates
-/// two daemons that both believe that they have the same rank.
-constexpr std::uint64_t kBackoffSpreadMs = 200;
+/// Flap damping: daemons that reach different databases may replace each
+/// other's primary repeatedly. A primary announced within this time after the
+/// previous one counts as a flap.
+constexpr common::Duration kFlapWindow = std::chrono::seconds(10);
+/// Flaps that are treated as separate failures and are not delayed.
+constexpr std::uint32_t kUndelayedFlaps = 1;
+/// Delay after the first flap beyond kUndelayedFlaps. It doubles with each
+/// further flap, at most kMaxFlapDelayDoublings times.
+constexpr common::Duration kInitialFlapDelay = milliseconds(500);
+constexpr std::uint32_t kMaxFlapDelayDoublings = 3;
+/// Range of the proposer-dependent part of the backoff, which separates two
+/// daemons that both believe that they have the same rank.
+constexpr std::uint64_t kBackoffJitterMs = 200;
 
 }  // namespace
 
@@ -80,7 +82,7 @@
   this->DetectPause(now);
   std::visit([this, now](const auto& typed) { this->On(typed, now); }, event);
   this->ExpireRequests(now);
-  this->CountQuickChange(now);
+  this->CountFlap(now);
   this->AdvanceRound(now);
   this->StartRoundIfDue(now);
   this->SendFollows(now);
@@ -91,10 +93,10 @@
 std::optional<KnownPrimary> FailoverCoordinator::Primary() const {
   if (!this->primary) return std::nullopt;
   const EndpointStatus& status = *this->Find(this->primary->endpoint)->status;
-  const bool holds = status.role == request::EndpointRole::kPrimary &&
-                     status.term == this->primary->term &&
-                     status.fence <= status.term;
-  if (!holds) return std::nullopt;
+  const bool still_primary = status.role == request::EndpointRole::kPrimary &&
+                             status.term == this->primary->term &&
+                             status.fence <= status.term;
+  if (!still_primary) return std::nullopt;
   return this->primary;
 }
 
@@ -108,13 +110,13 @@
   Member* member = this->Find(event.endpoint);
   if (member == nullptr) return;
   this->ObserveTerm(std::max(event.status.term, event.status.fence), now);
-  this->Learn(member, event.status);
+  this->UpdateStatus(member, event.status);
   const bool awaited = member->poll && event.request == member->poll->request;
-  // A late answer to an older poll doesn't show that the endpoint still
-  // answers.
+  // A late response to an earlier poll does not show that the endpoint is still
+  // responsive.
   if (event.request && !awaited) return;
   if (awaited) member->poll.reset();
-  this->Heard(member, now);
+  this->MarkReachable(member, now);
 }
 
 void FailoverCoordinator::On(const StatusFailed& event,
@@ -122,13 +124,13 @@
   Member* member = this->Find(event.endpoint);
   if (member == nullptr) return;
   if (!event.request) {
-    // Many requests fail together when one connection breaks, so only polls
-    // are counted.
+    // Many requests fail together when one connection breaks, so only polls are
+    // counted.
     member->next_poll = std::min(member->next_poll, now);
     return;
   }
   if (!member->poll || event.request != member->poll->request) return;
-  this->CountMiss(member, event.kind, now);
+  this->RecordMissedPoll(member, event.kind, now);
 }
 
 void FailoverCoordinator::On(const FenceReply& event, common::SteadyTime now) {
@@ -140,8 +142,9 @@
   }
   if (!this->round || this->round->promote) return;
   if (event.fence > this->round->term) {
-    // Another coordinator is ahead at this database. Going on at the lower term
-    // would only produce a primary that this database can't follow.
+    // Another coordinator has fenced this database at a higher term. Continuing
+    // at the lower term would only produce a primary that this database cannot
+    // follow.
     this->AbandonRound(now);
     return;
   }
@@ -170,7 +173,7 @@
     status.fence = event.term;
     status.role = request::EndpointRole::kPrimary;
     if (member->status) status.position = member->status->position;
-    this->Learn(member, status);
+    this->UpdateStatus(member, status);
     return;
   }
   if (!this->round || !this->round->promote) return;
@@ -182,7 +185,7 @@
                              common::SteadyTime now) {
   if (!this->round || !this->round->promote) return;
   if (event.request != this->round->promote->request) return;
-  this->LosePromote(now);
+  this->AbandonLostPromote(now);
 }
 
 void FailoverCoordinator::On(const FollowReply& event, common::SteadyTime now) {
@@ -193,7 +196,7 @@
     status.term = event.term;
     status.fence = event.term;
     if (member->status) status.position = member->status->position;
-    this->Learn(member, status);
+    this->UpdateStatus(member, status);
   }
   if (!member->follow || event.request != member->follow->request) return;
   member->follow.reset();
@@ -211,8 +214,8 @@
 
 void FailoverCoordinator::On(const FailoverTick&, common::SteadyTime) {}
 
-/// After a pause everything that was known about reachability and the round is
-/// out of date: others may have promoted a database meanwhile.
+/// After a pause, the known reachability and the round are out of date: other
+/// coordinators may have promoted a database in the meantime.
 void FailoverCoordinator::DetectPause(common::SteadyTime now) {
   const bool paused =
       this->last_event && now - *this->last_event > kPauseThreshold;
@@ -227,31 +230,33 @@
 void FailoverCoordinator::ForgetReachability(Member* member,
                                              common::SteadyTime now) {
   member->reachability = Reachability::kUnknown;
-  member->misses = 0;
+  member->missed_polls = 0;
   member->poll.reset();
   member->next_poll = now;
 }
 
-void FailoverCoordinator::Heard(Member* member, common::SteadyTime now) {
+void FailoverCoordinator::MarkReachable(Member* member,
+                                        common::SteadyTime now) {
   member->reachability = Reachability::kReachable;
-  member->misses = 0;
+  member->missed_polls = 0;
   member->next_poll = now + kStatusInterval;
 }
 
-void FailoverCoordinator::CountMiss(Member* member, FailureKind kind,
-                                    common::SteadyTime now) {
+void FailoverCoordinator::RecordMissedPoll(Member* member, FailureKind kind,
+                                           common::SteadyTime now) {
   member->poll.reset();
-  ++member->misses;
+  ++member->missed_polls;
   member->next_poll = now;
   if (kind == FailureKind::kRefused) member->next_poll += kRefusedRetryDelay;
-  if (member->misses < kSuspectMisses) return;
+  if (member->missed_polls < kSuspectMissedPolls) return;
   member->reachability = Reachability::kSuspect;
   member->next_poll = now + kSuspectInterval;
 }
 
-/// A database's fence and term never fall, so a status with a lower pair is an
-/// older one that arrived late.
-void FailoverCoordinator::Learn(Member* member, const EndpointStatus& status) {
+/// A database's fence and term never decrease, so a status with a lower pair is
+/// an older one that arrived late.
+void FailoverCoordinator::UpdateStatus(Member* member,
+                                       const EndpointStatus& status) {
   const bool older = member->status &&
                      std::tie(status.fence, status.term) <
                          std::tie(member->status->fence, member->status->term);
@@ -269,15 +274,17 @@
   if (term <= this->highest_term) return;
   const bool first = this->highest_term == 0;
   this->highest_term = term;
-  // The first terms seen are the group's past, not a round in progress.
+  // The first terms observed belong to the group's history, not to a round in
+  // progress.
   if (first) return;
-  this->not_before = std::max(this->not_before, now + kOtherRoundWait);
+  this->next_round_not_before =
+      std::max(this->next_round_not_before, now + kConcurrentRoundWait);
 }
 
 void FailoverCoordinator::ExpireRequests(common::SteadyTime now) {
   for (Member& member : this->members) {
     if (member.poll && now >= member.poll->deadline) {
-      this->CountMiss(&member, FailureKind::kTimedOut, now);
+      this->RecordMissedPoll(&member, FailureKind::kTimedOut, now);
     }
     if (member.follow && now >= member.follow->deadline) {
       member.follow.reset();
@@ -286,13 +293,13 @@
   }
 }
 
-void FailoverCoordinator::CountQuickChange(common::SteadyTime now) {
-  if (!this->primary || this->primary->term == this->counted_term) return;
-  const bool quick =
-      this->counted_term != 0 && now - this->counted_at < kQuickChange;
-  this->quick_changes = quick ? this->quick_changes + 1 : 0;
-  this->counted_term = this->primary->term;
-  this->counted_at = now;
+void FailoverCoordinator::CountFlap(common::SteadyTime now) {
+  if (!this->primary || this->primary->term == this->last_primary_term) return;
+  const bool flapped = this->last_primary_term != 0 &&
+                       now - this->last_primary_seen_at < kFlapWindow;
+  this->flaps = flapped ? this->flaps + 1 : 0;
+  this->last_primary_term = this->primary->term;
+  this->last_primary_seen_at = now;
 }
 
 void FailoverCoordinator::AdvanceRound(common::SteadyTime now) {
@@ -303,10 +310,10 @@
     return;
   }
   if (this->round->promote) {
-    if (now >= this->round->promote->deadline) this->LosePromote(now);
+    if (now >= this->round->promote->deadline) this->AbandonLostPromote(now);
     return;
   }
-  if (this->FencingComplete(now)) {
+  if (this->IsFencingComplete(now)) {
     this->Promote(now);
     return;
   }
@@ -317,9 +324,9 @@
   }
 }
 
-bool FailoverCoordinator::FencingComplete(common::SteadyTime now) const {
+bool FailoverCoordinator::IsFencingComplete(common::SteadyTime now) const {
   if (!this->round->majority_at) return false;
-  if (now >= *this->round->majority_at + kThirdGrantWait) return true;
+  if (now >= *this->round->majority_at + kAdditionalGrantWait) return true;
   return std::none_of(this->round->pending.begin(), this->round->pending.end(),
                       [this](const auto& entry) {
                         const Member* member = this->Find(entry.second);
@@ -328,27 +335,27 @@
 }
 
 void FailoverCoordinator::StartRoundIfDue(common::SteadyTime now) {
-  const GroupState found = this->EvaluateGroup();
-  if (found != this->group_state) this->state_since = now;
-  this->group_state = found;
-  if (found == GroupState::kHealthy) this->attempts = 0;
-  if (found == GroupState::kNoPrimary) this->ScheduleUrgentPolls(now);
-  if (found == GroupState::kHealthy || found == GroupState::kUndecided) return;
-  if (this->round || this->CountAnswering() < this->Majority()) return;
-  if (now < this->not_before) return;
-  if (now < this->state_since + this->StartDelay(found)) return;
+  const GroupState state = this->EvaluateGroup();
+  if (state != this->group_state) this->state_since = now;
+  this->group_state = state;
+  if (state == GroupState::kHealthy) this->abandoned_rounds = 0;
+  if (state == GroupState::kNoPrimary) this->ScheduleFastPolls(now);
+  if (state == GroupState::kHealthy || state == GroupState::kUndecided) return;
+  if (this->round || this->CountResponsive() < this->Majority()) return;
+  if (now < this->next_round_not_before) return;
+  if (now < this->state_since + this->RoundStartDelay(state)) return;
   this->StartRound(now);
 }
 
-void FailoverCoordinator::ScheduleUrgentPolls(common::SteadyTime now) {
-  if (now - this->state_since > kUrgentPeriod) return;
+void FailoverCoordinator::ScheduleFastPolls(common::SteadyTime now) {
+  if (now - this->state_since > kFastPollPeriod) return;
   for (Member& member : this->members) {
     if (member.reachability != Reachability::kReachable) continue;
-    member.next_poll = std::min(member.next_poll, now + kUrgentInterval);
+    member.next_poll = std::min(member.next_poll, now + kFastPollInterval);
   }
 }
 
-/// The round's term is above everything seen and above every term that this
+/// The round's term is higher than every term observed and every term that this
 /// coordinator used before, so no term is used twice.
 void FailoverCoordinator::StartRound(common::SteadyTime now) {
   Round started;
@@ -363,17 +370,17 @@
 }
 
 void FailoverCoordinator::Promote(common::SteadyTime now) {
-  this->round->target = this->ChooseGrant().endpoint;
+  this->round->target = this->ChooseCandidate().endpoint;
   const FailoverRequestId request = this->next_request++;
-  this->round->promote = Outstanding{request, now + kPromoteTimeout};
-  this->promoted_term = this->round->term;
+  this->round->promote = PendingRequest{request, now + kPromoteTimeout};
+  this->last_promote_term = this->round->term;
   this->actions.push_back(
       SendPromote{this->round->target, request, this->round->term});
 }
 
-/// The most advanced log; among equals the present primary, whose replicas then
-/// keep their source.
-const FailoverCoordinator::Grant& FailoverCoordinator::ChooseGrant() const {
+/// Chooses the most advanced log. Among equal logs the current primary is
+/// preferred, because its replicas then keep their source.
+const FailoverCoordinator::Grant& FailoverCoordinator::ChooseCandidate() const {
   if (!this->policy.promote_most_advanced) return this->round->grants.front();
   const auto rank_of = [this](const Grant& grant) {
     const bool is_primary =
@@ -388,8 +395,8 @@
 }
 
 /// The target's next status shows whether the promotion took effect. The term
-/// isn't used again, since the request may still arrive.
-void FailoverCoordinator::LosePromote(common::SteadyTime now) {
+/// is not reused, since the request may still arrive.
+void FailoverCoordinator::AbandonLostPromote(common::SteadyTime now) {
   Member* target = this->Find(this->round->target);
   this->AbandonRound(now);
   this->ForgetReachability(target, now);
@@ -398,14 +405,16 @@
 void FailoverCoordinator::AbandonRound(common::SteadyTime now) {
   this->round.reset();
   const common::Duration backoff =
-      kFirstBackoff * (1U << std::min(this->attempts, kMaxBackoffDoublings));
-  ++this->attempts;
-  const std::uint64_t spread = common::RendezvousScore(
-      std::to_string(this->attempts), common::HostId(this->proposer));
+      kInitialBackoff *
+      (1U << std::min(this->abandoned_rounds, kMaxBackoffDoublings));
+  ++this->abandoned_rounds;
+  const std::uint64_t jitter = common::RendezvousScore(
+      std::to_string(this->abandoned_rounds), common::HostId(this->proposer));
   const common::Duration delay =
       backoff + this->RankDelay() +
-      milliseconds(static_cast<std::int64_t>(spread % kBackoffSpreadMs));
-  this->not_before = std::max(this->not_before, now + delay);
+      milliseconds(static_cast<std::int64_t>(jitter % kBackoffJitterMs));
+  this->next_round_not_before =
+      std::max(this->next_round_not_before, now + delay);
 }
 
 FailoverCoordinator::GroupState FailoverCoordinator::EvaluateGroup() const {
@@ -434,13 +443,13 @@
   return this->Find(known->endpoint)->reachability == Reachability::kReachable;
 }
 
-/// Members that missed the last poll don't count, although they aren't suspect
-/// yet: a round that can't reach a majority only leaves fences behind.
-std::size_t FailoverCoordinator::CountAnswering() const {
+/// Members that missed the last poll are not counted even if they are not
+/// suspect yet: a round that cannot reach a majority only leaves fences behind.
+std::size_t FailoverCoordinator::CountResponsive() const {
   return static_cast<std::size_t>(std::count_if(
       this->members.begin(), this->members.end(), [](const Member& member) {
         return member.reachability == Reachability::kReachable &&
-               member.misses == 0;
+               member.missed_polls == 0;
       }));
 }
 
@@ -453,30 +462,31 @@
   return kRankDelay * static_cast<std::int64_t>(this->rank);
 }
 
-common::Duration FailoverCoordinator::StartDelay(GroupState found) const {
+common::Duration FailoverCoordinator::RoundStartDelay(GroupState state) const {
   common::Duration delay = this->RankDelay();
-  if (found == GroupState::kReplicaFenced) delay += kRepairDelay;
-  if (this->quick_changes <= kFreeQuickChanges) return delay;
-  const std::uint32_t doublings = this->quick_changes - kFreeQuickChanges - 1;
-  return delay +
-         kQuickChangeDelay * (1U << std::min(doublings, kMaxDelayDoublings));
+  if (state == GroupState::kReplicaFenced) delay += kRepairDelay;
+  if (this->flaps <= kUndelayedFlaps) return delay;
+  const std::uint32_t doublings = this->flaps - kUndelayedFlaps - 1;
+  return delay + kInitialFlapDelay *
+                     (1U << std::min(doublings, kMaxFlapDelayDoublings));
 }
 
 void FailoverCoordinator::SendFollows(common::SteadyTime now) {
   for (Member& member : this->members) {
     if (!this->NeedsFollow(member)) {
-      member.behind_since.reset();
+      member.outdated_since.reset();
       continue;
     }
-    if (!member.behind_since) member.behind_since = now;
-    // The coordinator that promoted the primary finishes its work at once.
-    const bool own = this->promoted_term == this->primary->term;
+    if (!member.outdated_since) member.outdated_since = now;
+    // The coordinator that promoted the primary attaches the replicas without
+    // delay.
+    const bool promoted_here = this->last_promote_term == this->primary->term;
     const common::Duration delay =
-        own ? common::Duration::zero() : this->RankDelay();
-    if (now < *member.behind_since + delay) continue;
+        promoted_here ? common::Duration::zero() : this->RankDelay();
+    if (now < *member.outdated_since + delay) continue;
     if (member.follow || now < member.next_follow) continue;
     const FailoverRequestId request = this->next_request++;
-    member.follow = Outstanding{request, now + kFollowTimeout};
+    member.follow = PendingRequest{request, now + kFollowTimeout};
     this->actions.push_back(SendFollow{member.id, request, this->primary->term,
                                        this->primary->endpoint});
   }
@@ -494,9 +504,10 @@
   for (Member& member : this->members) {
     if (member.poll || now < member.next_poll) continue;
     const FailoverRequestId request = this->next_request++;
-    member.poll = Outstanding{request, now + kStatusTimeout + kReportMargin};
+    member.poll =
+        PendingRequest{request, now + kStatusTimeout + kPollReportMargin};
     this->actions.push_back(
-        SendStatusPoll{member.id, request, member.misses > 0});
+        SendStatusPoll{member.id, request, member.missed_polls > 0});
   }
 }
 
--- a/Source/Core/Process/failover_coordinator.h
+++ b/Source/Core/Process/failover_coordinator.h
@@ -14,11 +14,11 @@
 
 namespace camphorferry::process {
 
-/// Identifies one message of a coordinator, so that an answer to an older
-/// message is not taken for the answer to the current one.
+/// Identifies one request of a coordinator, so that a response to an earlier
+/// request is not taken for the response to the current one.
 using FailoverRequestId = std::uint64_t;
 
-/// State that a database reports about itself.
+/// Replication state that a database reports about itself.
 struct EndpointStatus {
   common::Term term = 0;
   common::Term fence = 0;
@@ -27,9 +27,9 @@
   common::LogPosition position;
 };
 
-/// A database reported its state, in answer to a poll or, without a request
-/// id, in an ordinary answer. An ordinary answer doesn't contain the fence; its
-/// term takes the fence's place, since a lower value than the known one is
+/// A database reported its status, either in response to a poll or, if there is
+/// no request id, in a statement reply. A statement reply does not contain the
+/// fence; its term is used instead, since a value below the known fence is
 /// ignored.
 struct StatusReceived {
   common::EndpointId endpoint;
@@ -37,40 +37,40 @@
   EndpointStatus status;
 };
 
-/// How a poll ended without an answer.
+/// Why a request got no response.
 enum class FailureKind {
-  /// The connection was refused or reset, so the process is probably gone.
+  /// The connection was refused or reset, so the process has probably exited.
   kRefused,
-  /// No answer came in time.
+  /// No response arrived before the timeout.
   kTimedOut,
 };
 
-/// A poll got no answer or, without a request id, an ordinary request got
-/// none; the latter only brings the next poll forward.
+/// A poll failed or, if there is no request id, a statement got no reply. The
+/// latter only brings the next poll forward.
 struct StatusFailed {
   common::EndpointId endpoint;
   std::optional<FailoverRequestId> request;
   FailureKind kind = FailureKind::kTimedOut;
 };
 
-/// Answer to a fence request.
+/// Response to a fence request.
 struct FenceReply {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
   bool granted = false;
-  /// The database's fence after the request, and who set it.
+  /// The database's fence after the request, and the proposer that set it.
   common::Term fence = 0;
   std::string proposer;
   common::LogPosition position;
 };
 
-/// A fence request got no answer.
+/// A fence request got no response.
 struct FenceFailed {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
 };
 
-/// Answer to a promote request for a term.
+/// Response to a promote request for a term.
 struct PromoteReply {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
@@ -78,13 +78,13 @@
   bool accepted = false;
 };
 
-/// A promote request got no answer; it may have taken effect.
+/// A promote request got no response; it may have taken effect.
 struct PromoteFailed {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
 };
 
-/// Answer to a follow request for a term.
+/// Response to a follow request for a term.
 struct FollowReply {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
@@ -92,13 +92,13 @@
   bool accepted = false;
 };
 
-/// A follow request got no answer.
+/// A follow request got no response.
 struct FollowFailed {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
 };
 
-/// Time has passed.
+/// Periodic tick.
 struct FailoverTick {};
 
 using FailoverEvent = std::variant<StatusReceived, StatusFailed, FenceReply,
@@ -109,19 +109,19 @@
 struct SendStatusPoll {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
-  /// Open a new connection instead of using the control connection, which may
-  /// have gone silent.
+  /// Open a new connection instead of reusing the control connection, which may
+  /// be stalled.
   bool new_connection = false;
 };
 
-/// Fence an endpoint at the term under the coordinator's proposer id.
+/// Fence an endpoint at the term with the coordinator's proposer id.
 struct SendFence {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
   common::Term term = 0;
 };
 
-/// Promote an endpoint to primary of the term.
+/// Promote an endpoint to primary for the term.
 struct SendPromote {
   common::EndpointId endpoint;
   FailoverRequestId request = 0;
@@ -136,7 +136,7 @@
   common::EndpointId primary;
 };
 
-/// Route writes to this endpoint under this term from now on.
+/// The primary has changed: route writes to this endpoint under this term.
 struct AnnouncePrimary {
   common::EndpointId endpoint;
   common::Term term = 0;
@@ -145,7 +145,7 @@
 using FailoverAction = std::variant<SendStatusPoll, SendFence, SendPromote,
                                     SendFollow, AnnouncePrimary>;
 
-/// Primary of a group and its term.
+/// Primary of a database group and its term.
 struct KnownPrimary {
   common::EndpointId endpoint;
   common::Term term = 0;
@@ -153,67 +153,76 @@
   bool operator==(const KnownPrimary&) const = default;
 };
 
-/// Rules that only tests change, to show that they notice the consequences.
+/// Safety rules that only tests disable, to verify that the violations are
+/// detected.
 struct FailoverPolicy {
   /// If false, the first database that granted the fence is promoted.
   bool promote_most_advanced = true;
 };
 
-/// A status poll without an answer for this long counts as missed.
+/// Timeout of a status poll.
 inline constexpr common::Duration kStatusTimeout =
     std::chrono::milliseconds(200);
-/// An endpoint that was silent for this long is polled.
+/// An endpoint that was not heard from for this long is polled.
 inline constexpr common::Duration kStatusInterval =
     std::chrono::milliseconds(200);
-/// A coordinator of rank n acts this many times n later than that of rank 0.
+/// A coordinator of rank n delays its actions by n times this duration, so that
+/// coordinators seldom compete.
 inline constexpr common::Duration kRankDelay = std::chrono::milliseconds(300);
 
-/// Keeps one primary in one service's database group. Each daemon that owns
-/// connections to the group runs one; several may act at the same time, since
-/// the databases accept at most one promotion for a term. The caller reports
-/// events, at least a tick every 100 ms, and carries out the actions.
+/// Maintains one primary in the database group of one service. It detects a
+/// failed primary by polling, fences a majority at a new term, promotes the
+/// fenced database with the most advanced log, and attaches the others as
+/// replicas.
+///
+/// Each daemon that owns connections to the group runs one coordinator. Several
+/// may act at the same time, since the databases accept at most one promotion
+/// per term. The class does no I/O: the caller reports events, including a tick
+/// at least every 100 ms, and carries out the returned actions.
 class FailoverCoordinator {
  public:
-  /// The proposer id must never have been used before, by any process or by an
-  /// earlier coordinator of this one: the databases distinguish coordinators
+  /// The proposer id must be unique across all processes and all coordinators
+  /// of this process, past ones included: the databases tell coordinators apart
   /// by it.
   FailoverCoordinator(std::vector<common::EndpointId> endpoints,
                       std::string proposer, std::size_t rank,
                       FailoverPolicy policy = {});
 
-  /// Takes an event and returns what has to be done now.
+  /// Handles an event and returns the actions to carry out now.
   std::vector<FailoverAction> Handle(const FailoverEvent& event,
                                      common::SteadyTime now);
 
-  /// Sets the place of this daemon among the service's coordinators.
+  /// Sets the rank of this daemon among the service's coordinators.
   void SetRank(std::size_t new_rank) { this->rank = new_rank; }
 
   const std::string& Proposer() const { return this->proposer; }
 
-  /// The primary of the highest term reported, unless it is known to be fenced
-  /// above that term. It may be suspect.
+  /// The primary with the highest reported term, unless it is known to be
+  /// fenced above that term. It may be suspect.
   std::optional<KnownPrimary> Primary() const;
 
-  /// True if the endpoint missed several polls in a row and none since.
+  /// True if the endpoint missed several polls in a row and has not responded
+  /// since.
   bool IsSuspect(const common::EndpointId& endpoint) const;
 
  private:
-  /// What is known about whether an endpoint answers.
+  /// Whether an endpoint responds to polls.
   enum class Reachability { kUnknown, kReachable, kSuspect };
 
   /// Whether a promotion is needed, and why.
   enum class GroupState {
     kHealthy,
-    /// Some endpoint has neither answered nor missed enough polls.
+    /// Some endpoint has neither responded nor missed enough polls to be
+    /// suspect.
     kUndecided,
-    /// No primary can get writes confirmed.
+    /// No primary can get its writes confirmed by a replica.
     kNoPrimary,
-    /// Writes go on, but a replica is fenced above the primary's term by a
-    /// round that was given up, and can never follow it.
+    /// Writes succeed, but an abandoned round has fenced a replica above the
+    /// primary's term, so that the replica can never follow this primary.
     kReplicaFenced,
   };
 
-  struct Outstanding {
+  struct PendingRequest {
     FailoverRequestId request = 0;
     common::SteadyTime deadline;
   };
@@ -222,13 +231,13 @@
     common::EndpointId id;
     std::optional<EndpointStatus> status;
     Reachability reachability = Reachability::kUnknown;
-    int misses = 0;
-    std::optional<Outstanding> poll;
+    int missed_polls = 0;
+    std::optional<PendingRequest> poll;
     common::SteadyTime next_poll;
-    std::optional<Outstanding> follow;
+    std::optional<PendingRequest> follow;
     common::SteadyTime next_follow;
-    /// When the member was first seen to have an older term.
-    std::optional<common::SteadyTime> behind_since;
+    /// When the member was first observed with a term below the primary's.
+    std::optional<common::SteadyTime> outdated_since;
   };
 
   /// A database that granted the fence of the current round.
@@ -241,13 +250,13 @@
   struct Round {
     common::Term term = 0;
     common::SteadyTime deadline;
-    /// Fence requests without an answer.
+    /// Fence requests that are still unanswered.
     std::map<FailoverRequestId, common::EndpointId> pending;
     std::vector<Grant> grants;
     /// Time of the grant that completed a majority.
     std::optional<common::SteadyTime> majority_at;
-    /// Set once the promote request was sent.
-    std::optional<Outstanding> promote;
+    /// Set once the promote request has been sent.
+    std::optional<PendingRequest> promote;
     common::EndpointId target;
   };
 
@@ -263,29 +272,30 @@
 
   void DetectPause(common::SteadyTime now);
   void ForgetReachability(Member* member, common::SteadyTime now);
-  void Heard(Member* member, common::SteadyTime now);
-  void CountMiss(Member* member, FailureKind kind, common::SteadyTime now);
-  void Learn(Member* member, const EndpointStatus& status);
+  void MarkReachable(Member* member, common::SteadyTime now);
+  void RecordMissedPoll(Member* member, FailureKind kind,
+                        common::SteadyTime now);
+  void UpdateStatus(Member* member, const EndpointStatus& status);
   void ObserveTerm(common::Term term, common::SteadyTime now);
   void ExpireRequests(common::SteadyTime now);
 
-  void CountQuickChange(common::SteadyTime now);
+  void CountFlap(common::SteadyTime now);
   void AdvanceRound(common::SteadyTime now);
   void StartRoundIfDue(common::SteadyTime now);
-  void ScheduleUrgentPolls(common::SteadyTime now);
+  void ScheduleFastPolls(common::SteadyTime now);
   void StartRound(common::SteadyTime now);
-  bool FencingComplete(common::SteadyTime now) const;
+  bool IsFencingComplete(common::SteadyTime now) const;
   void Promote(common::SteadyTime now);
-  const Grant& ChooseGrant() const;
-  void LosePromote(common::SteadyTime now);
+  const Grant& ChooseCandidate() const;
+  void AbandonLostPromote(common::SteadyTime now);
   void AbandonRound(common::SteadyTime now);
 
   GroupState EvaluateGroup() const;
   bool PrimaryIsReachable() const;
-  std::size_t CountAnswering() const;
+  std::size_t CountResponsive() const;
   bool IsFencedAbove(const Member& member, common::Term term) const;
   common::Duration RankDelay() const;
-  common::Duration StartDelay(GroupState found) const;
+  common::Duration RoundStartDelay(GroupState state) const;
   void SendFollows(common::SteadyTime now);
   bool NeedsFollow(const Member& member) const;
   void SendPolls(common::SteadyTime now);
@@ -303,23 +313,22 @@
 
   std::optional<common::SteadyTime> last_event;
   std::optional<KnownPrimary> primary;
-  /// Highest term or fence that any answer contained or a round used.
+  /// Highest term or fence observed in a response or used by a round.
   common::Term highest_term = 0;
-  /// Term of the last known primary, when it was first seen, and how many
-  /// primaries in a row came shortly after the one before.
-  common::Term counted_term = 0;
-  common::SteadyTime counted_at;
-  std::uint32_t quick_changes = 0;
+  /// Term of the last known primary, when it was first observed, and the number
+  /// of consecutive flaps up to it.
+  common::Term last_primary_term = 0;
+  common::SteadyTime last_primary_seen_at;
+  std::uint32_t flaps = 0;
   /// Term of the last promote request that this coordinator sent.
-  common::Term promoted_term = 0;
+  common::Term last_promote_term = 0;
 
   std::optional<Round> round;
   common::SteadyTime state_since;
   GroupState group_state = GroupState::kUndecided;
-  /// No round starts before this time.
-  common::SteadyTime not_before;
-  /// Rounds given up since the last time that a primary was in place.
-  std::uint32_t attempts = 0;
+  common::SteadyTime next_round_not_before;
+  /// Rounds abandoned since the group was last healthy.
+  std::uint32_t abandoned_rounds = 0;
 };
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/failover_task.cc
+++ b/Source/Core/Process/failover_task.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval(50);
-/// Time allowed for fence, promote and follow calls.
+/// Timeout of fence, promote and follow calls.
 constexpr std::chrono::milliseconds kControlTimeout(500);
 
 std::vector<common::EndpointId> EndpointIds(const version::Service& service) {
@@ -33,12 +33,12 @@
 }  // namespace
 
 FailoverTask::FailoverTask(connection::EventLoop* loop,
-                           common::ServiceId service,
+                           common::ServiceId service_id,
                            const version::Service& declared,
                            const std::string& proposer, std::size_t rank,
                            EventLog* events, PrimaryDirectory* directory)
     : loop(loop),
-      service(std::move(service)),
+      service_id(std::move(service_id)),
       events(events),
       directory(directory),
       coordinator(EndpointIds(declared), proposer, rank) {
@@ -57,16 +57,17 @@
   this->coordinator.SetRank(rank);
 }
 
-void FailoverTask::Observe(const common::EndpointId& endpoint,
-                           const connection::StatementReply* reply) {
+void FailoverTask::ObserveReply(const common::EndpointId& endpoint,
+                                const connection::StatementReply* reply) {
   if (reply == nullptr) {
     this->Handle(StatusFailed{endpoint, std::nullopt, FailureKind::kTimedOut});
     return;
   }
   const auto* done = std::get_if<request::Done>(&reply->outcome);
   if (done == nullptr) return;
-  // An answer shows the same as a poll, which is then not needed. It doesn't
-  // carry the fence; one that executed is not fenced above its term.
+  // A statement reply carries the same information as a poll, which is then
+  // unnecessary. It does not contain the fence, but a database that executed
+  // the statement is not fenced above its term.
   const request::EndpointRole role = done->served_by_primary
                                          ? request::EndpointRole::kPrimary
                                          : request::EndpointRole::kReplica;
@@ -81,7 +82,7 @@
   return {primary->endpoint, primary->term};
 }
 
-bool FailoverTask::MayConfirm() const {
+bool FailoverTask::HasNonSuspectReplica() const {
   const connection::PrimaryHint primary = this->Primary();
   return std::any_of(this->members.begin(), this->members.end(),
                      [this, &primary](const auto& member) {
@@ -99,7 +100,8 @@
 }
 
 template <typename Reply, typename Failed, typename Action>
-std::function<void(const FailoverTask::AcceptedResult&)> FailoverTask::Reporter(
+std::function<void(const FailoverTask::AcceptedResult&)>
+FailoverTask::ResultHandler(
     const Action& action,
     const std::shared_ptr<connection::HttpEndpointLink>& link) {
   return
@@ -143,7 +145,7 @@
 void FailoverTask::Perform(const SendFence& action) {
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "fence_sent",
-                       {{"service", this->service},
+                       {{"service", this->service_id},
                         {"endpoint", action.endpoint},
                         {"term", action.term}});
   const auto link = this->NewLink(action.endpoint);
@@ -166,12 +168,12 @@
 void FailoverTask::Perform(const SendPromote& action) {
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "promote_sent",
-                       {{"service", this->service},
+                       {{"service", this->service_id},
                         {"endpoint", action.endpoint},
                         {"term", action.term}});
   const auto link = this->NewLink(action.endpoint);
   link->Promote(action.term, this->coordinator.Proposer(), kControlTimeout,
-                this->Reporter<PromoteReply, PromoteFailed>(action, link));
+                this->ResultHandler<PromoteReply, PromoteFailed>(action, link));
 }
 
 void FailoverTask::Perform(const SendFollow& action) {
@@ -180,16 +182,16 @@
       connection::ToString(this->members.at(action.primary).address);
   link->Follow(action.term, this->coordinator.Proposer(), primary,
                kControlTimeout,
-               this->Reporter<FollowReply, FollowFailed>(action, link));
+               this->ResultHandler<FollowReply, FollowFailed>(action, link));
 }
 
 void FailoverTask::Perform(const AnnouncePrimary& action) {
   const bool changed =
-      this->directory->Learn(this->service, {action.endpoint, action.term});
+      this->directory->Update(this->service_id, {action.endpoint, action.term});
   if (!changed) return;
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "primary_known",
-                       {{"service", this->service},
+                       {{"service", this->service_id},
                         {"endpoint", action.endpoint},
                         {"term", action.term}});
 }
--- a/Source/Core/Process/failover_task.h
+++ b/Source/Core/Process/failover_task.h
@@ -13,11 +13,11 @@
 
 namespace camphorferry::process {
 
-/// Carries out a failover coordinator's actions for one service: polls, fences,
-/// promotes and redirects its databases.
+/// Executes the actions of one service's FailoverCoordinator: polls, fences and
+/// promotes the databases and makes them follow the primary.
 class FailoverTask {
  public:
-  FailoverTask(connection::EventLoop* loop, common::ServiceId service,
+  FailoverTask(connection::EventLoop* loop, common::ServiceId service_id,
                const version::Service& declared, const std::string& proposer,
                std::size_t rank, EventLog* events, PrimaryDirectory* directory);
 
@@ -25,27 +25,28 @@
   FailoverTask(const FailoverTask&) = delete;
   FailoverTask& operator=(const FailoverTask&) = delete;
 
-  /// Sets this daemon's place among the service's coordinators.
+  /// Sets this daemon's rank among the service's coordinators.
   void SetRank(std::size_t rank);
 
-  /// Takes what an ordinary answer tells about the endpoint, or a null pointer
-  /// if a statement's connection was lost.
-  void Observe(const common::EndpointId& endpoint,
-               const connection::StatementReply* reply);
+  /// Passes a statement reply of the endpoint to the coordinator, or a null
+  /// pointer if the statement's connection was lost.
+  void ObserveReply(const common::EndpointId& endpoint,
+                    const connection::StatementReply* reply);
 
-  /// The primary that this coordinator knows; empty if there is none that it
-  /// trusts.
+  /// The primary known to the coordinator; empty if there is none or it is
+  /// suspect.
   connection::PrimaryHint Primary() const;
 
-  /// True if some endpoint beside the primary may confirm a write.
-  bool MayConfirm() const;
+  /// True if some endpoint other than the primary is not suspect, so that it
+  /// may confirm a write.
+  bool HasNonSuspectReplica() const;
 
  private:
   using AcceptedResult = connection::ControlResult<connection::ControlAccepted>;
 
   struct Member {
     connection::SocketAddress address;
-    /// Kept between status polls.
+    /// Control connection, reused by status polls.
     std::shared_ptr<connection::HttpEndpointLink> status_link;
   };
 
@@ -55,23 +56,23 @@
   void Perform(const SendPromote& action);
   void Perform(const SendFollow& action);
   void Perform(const AnnouncePrimary& action);
-  /// Callback that turns the result of a promote or follow call into the
-  /// coordinator's event; it keeps the link open until then.
+  /// Returns a callback that converts the result of a promote or follow call
+  /// into the coordinator's event. It keeps the connection open until then.
   template <typename Reply, typename Failed, typename Action>
-  std::function<void(const AcceptedResult&)> Reporter(
+  std::function<void(const AcceptedResult&)> ResultHandler(
       const Action& action,
       const std::shared_ptr<connection::HttpEndpointLink>& link);
   std::shared_ptr<connection::HttpEndpointLink> NewLink(
       const common::EndpointId& endpoint);
 
   connection::EventLoop* loop;
-  common::ServiceId service;
+  common::ServiceId service_id;
   EventLog* events;
   PrimaryDirectory* directory;
   FailoverCoordinator coordinator;
   std::map<common::EndpointId, Member> members;
   std::unique_ptr<connection::Timer> tick;
-  /// Cleared when the task ends, so that late answers are dropped.
+  /// Set to false when the task is destroyed, so that late replies are dropped.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Source/Core/Process/grpc_peer_client.cc
+++ b/Source/Core/Process/grpc_peer_client.cc
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds kControlTimeout(500);
-/// Added to a statement's deadline so that the owner's own answer about a
+/// Added to a statement's deadline, so that the owner's own reply about a
 /// passed deadline still arrives.
 constexpr std::chrono::milliseconds kDeadlineMargin(50);
 
 std::shared_ptr<grpc::Channel> NewChannel(const std::string& address) {
   grpc::ChannelArguments arguments;
-  // A retry inside gRPC would hide that a statement may have run.
+  // A retry inside gRPC would hide that a statement may have been executed.
   arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
   constexpr int kMaxReconnectBackoffMs = 500;
   arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 100);
@@ -62,18 +62,18 @@
     std::function<void(const Reply*)> done;
   };
   auto state = std::make_shared<CallState>();
-  request.set_hybrid_time(this->events->Stamp(common::WallNow()));
+  request.set_hybrid_time(this->events->Timestamp(common::WallNow()));
   state->request = std::move(request);
   state->done = std::move(done);
   state->context.set_deadline(
       common::WallNow() +
       std::chrono::duration_cast<std::chrono::system_clock::duration>(timeout));
-  const auto finish = [state, link_alive = this->alive, loop = this->loop,
+  const auto finish = [state, client_alive = this->alive, loop = this->loop,
                        events = this->events](const grpc::Status& status) {
     const bool answered = status.ok();
-    loop->Post([state, link_alive, events, answered] {
-      if (!*link_alive) return;
-      if (answered) events->Observe(state->reply.hybrid_time());
+    loop->Post([state, client_alive, events, answered] {
+      if (!*client_alive) return;
+      if (answered) events->MergeRemoteTime(state->reply.hybrid_time());
       state->done(answered ? &state->reply : nullptr);
     });
   };
--- a/Source/Core/Process/grpc_peer_client.h
+++ b/Source/Core/Process/grpc_peer_client.h
@@ -13,14 +13,15 @@
 
 namespace camphorferry::process {
 
-/// Peer link over gRPC. gRPC's threads only post the answers to the event loop.
+/// PeerClient over gRPC. gRPC's threads only post the responses to the event
+/// loop.
 class GrpcPeerClient : public PeerClient {
  public:
-  /// The event log gives the clock readings that messages carry.
+  /// The event log provides the hybrid timestamps that messages carry.
   GrpcPeerClient(connection::EventLoop* loop, EventLog* events);
   ~GrpcPeerClient() override;
 
-  /// Sets the address of a peer; a changed address replaces the channel.
+  /// Sets the address of a peer. A changed address replaces the channel.
   void SetAddress(const common::HostId& peer, const std::string& address);
 
   void Execute(const common::HostId& peer,
@@ -61,7 +62,8 @@
   connection::EventLoop* loop;
   EventLog* events;
   std::map<common::HostId, Peer> peers;
-  /// Cleared when the link is destroyed, so that late answers are dropped.
+  /// Set to false when the client is destroyed, so that late responses are
+  /// dropped.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Source/Core/Process/grpc_peer_server.cc
+++ b/Source/Core/Process/grpc_peer_server.cc
@@ -9,7 +9,7 @@
 PeerListenError::PeerListenError(const connection::SocketAddress& address)
     : Error("cannot listen for peers on " + connection::ToString(address)) {}
 
-/// Adapts gRPC's callbacks, which come on its own threads.
+/// Posts gRPC's callbacks, which run on gRPC's own threads, to the event loop.
 class GrpcPeerServer::Service : public peer::v1::Peer::CallbackService {
  public:
   Service(connection::EventLoop* loop, EventLog* events, PeerHandler* handler)
@@ -20,7 +20,7 @@
                                     peer::v1::ExecuteReply* reply) override {
     grpc::ServerUnaryReactor* reactor = context->DefaultReactor();
     this->loop->Post([this, request, reply, reactor] {
-      this->events->Observe(request->hybrid_time());
+      this->events->MergeRemoteTime(request->hybrid_time());
       this->handler->OnExecute(
           FromMessage(*request, common::SteadyNow()),
           [this, reply,
@@ -37,7 +37,7 @@
                                     peer::v1::ConfirmReply* reply) override {
     grpc::ServerUnaryReactor* reactor = context->DefaultReactor();
     this->loop->Post([this, request, reply, reactor] {
-      this->events->Observe(request->hybrid_time());
+      this->events->MergeRemoteTime(request->hybrid_time());
       this->handler->OnConfirm(
           common::EndpointId(request->endpoint()),
           FromMessage(request->position()),
@@ -57,7 +57,7 @@
       peer::v1::HeartbeatMessage* reply) override {
     grpc::ServerUnaryReactor* reactor = context->DefaultReactor();
     this->loop->Post([this, request, reply, reactor] {
-      this->events->Observe(request->hybrid_time());
+      this->events->MergeRemoteTime(request->hybrid_time());
       *reply = ToMessage(this->handler->OnHeartbeat(FromMessage(*request)));
       this->Finish(reply, reactor);
     });
@@ -70,7 +70,7 @@
       peer::v1::ConfigurationDocument* reply) override {
     grpc::ServerUnaryReactor* reactor = context->DefaultReactor();
     this->loop->Post([this, request, reply, reactor] {
-      this->events->Observe(request->hybrid_time());
+      this->events->MergeRemoteTime(request->hybrid_time());
       const PeerConfiguration configuration =
           this->handler->OnPullConfiguration(request->have_version());
       reply->set_version(configuration.version);
@@ -86,7 +86,7 @@
       peer::v1::PushConfigurationReply* reply) override {
     grpc::ServerUnaryReactor* reactor = context->DefaultReactor();
     this->loop->Post([this, request, reply, reactor] {
-      this->events->Observe(request->hybrid_time());
+      this->events->MergeRemoteTime(request->hybrid_time());
       reply->set_version(this->handler->OnPushConfiguration(
           {request->version(), request->document()}));
       this->Finish(reply, reactor);
@@ -100,14 +100,14 @@
       peer::v1::BorrowRateReply* reply) override {
     grpc::ServerUnaryReactor* reactor = context->DefaultReactor();
     this->loop->Post([this, request, reply, reactor] {
-      this->events->Observe(request->hybrid_time());
+      this->events->MergeRemoteTime(request->hybrid_time());
       const PeerRateLoan loan =
           this->handler->OnBorrowRate(common::WorkspaceId(request->workspace()),
                                       request->wanted_millitokens());
       reply->set_rate_millitokens_per_second(loan.rate);
       reply->set_capacity_millitokens(loan.capacity);
       reply->set_level_millitokens(loan.level);
-      reply->set_loan_ms(common::ToMilliseconds(loan.length).count());
+      reply->set_loan_ms(common::ToMilliseconds(loan.duration).count());
       this->Finish(reply, reactor);
     });
     return reactor;
@@ -116,7 +116,7 @@
  private:
   template <typename Reply>
   void Finish(Reply* reply, grpc::ServerUnaryReactor* reactor) {
-    reply->set_hybrid_time(this->events->Stamp(common::WallNow()));
+    reply->set_hybrid_time(this->events->Timestamp(common::WallNow()));
     reactor->Finish(grpc::Status::OK);
   }
 
@@ -131,7 +131,8 @@
     : service(std::make_unique<Service>(loop, events, handler)) {
   grpc::ServerBuilder builder;
   int chosen_port = 0;
-  // Two daemons on one port would answer each other's calls.
+  // Port sharing is disabled: two daemons on one port would answer each other's
+  // calls.
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
   builder.AddListeningPort(connection::ToString(address),
                            grpc::InsecureServerCredentials(), &chosen_port);
--- a/Source/Core/Process/grpc_peer_server.h
+++ b/Source/Core/Process/grpc_peer_server.h
@@ -29,7 +29,8 @@
 
   std::uint16_t Port() const { return this->port; }
 
-  /// Refuses new calls and waits for the running ones, at most the time given.
+  /// Rejects new calls and waits for the running ones, at most for the given
+  /// time.
   void Shutdown(common::Duration grace);
 
  private:
--- a/Source/Core/Process/lender_selector.cc
+++ b/Source/Core/Process/lender_selector.cc
@@ -10,19 +10,19 @@
 using common::HostId;
 using common::SteadyTime;
 
-/// A peer not asked for this long is forgotten, so that replaced hosts do not
-/// pile up.
-constexpr Duration kForgetAfter = std::chrono::minutes(5);
+/// A peer that was not asked for this long is removed, so that entries of
+/// replaced hosts do not accumulate.
+constexpr Duration kIdleLenderExpiry = std::chrono::minutes(5);
 
 }  // namespace
 
-std::optional<HostId> LenderSelector::Next(const std::vector<HostId>& peers,
-                                           SteadyTime now) {
+std::optional<HostId> LenderSelector::Select(const std::vector<HostId>& peers,
+                                             SteadyTime now) {
   std::erase_if(this->lenders, [now](const auto& entry) {
-    return entry.second.asked + kForgetAfter < now;
+    return entry.second.last_asked + kIdleLenderExpiry < now;
   });
   std::optional<HostId> choice;
-  std::optional<SteadyTime> choice_asked;
+  std::optional<SteadyTime> choice_last_asked;
   for (const HostId& peer : peers) {
     const auto known = this->lenders.find(peer);
     if (known == this->lenders.end()) {
@@ -33,24 +33,24 @@
     if (lender.lending_until && now < *lender.lending_until) {
       continue;
     }
-    if (!choice || lender.asked < *choice_asked) {
+    if (!choice || lender.last_asked < *choice_last_asked) {
       choice = peer;
-      choice_asked = lender.asked;
+      choice_last_asked = lender.last_asked;
     }
   }
   if (choice) {
-    this->lenders[*choice].asked = now;
+    this->lenders[*choice].last_asked = now;
   }
   return choice;
 }
 
-void LenderSelector::OnAnswer(const HostId& lender, const RateLoan& loan,
-                              SteadyTime now) {
+void LenderSelector::OnLoanReply(const HostId& lender, const RateLoan& loan,
+                                 SteadyTime now) {
   const auto known = this->lenders.find(lender);
   if (known == this->lenders.end() || loan.Empty()) {
     return;
   }
-  // The lender granted it before now.
+  // The lender granted the loan before now, so this is a safe upper bound.
   known->second.lending_until = now + GrantorPeriod(kLoanDuration);
 }
 
--- a/Source/Core/Process/lender_selector.h
+++ b/Source/Core/Process/lender_selector.h
@@ -10,22 +10,23 @@
 
 namespace camphorferry::process {
 
-/// Chooses the peer that one workspace's next loan is asked from.
+/// Selects the peer to ask for a workspace's next rate loan.
 class LenderSelector {
  public:
-  /// Of the peers whose loan is not running, the one that was not asked for the
-  /// longest time, earlier ones in the list first. Empty if all are lending.
-  std::optional<common::HostId> Next(const std::vector<common::HostId>& peers,
-                                     common::SteadyTime now);
+  /// Selects the least recently asked of the peers without a running loan to
+  /// this daemon; among peers never asked, the first in the list. Empty if all
+  /// peers are lending.
+  std::optional<common::HostId> Select(const std::vector<common::HostId>& peers,
+                                       common::SteadyTime now);
 
-  /// A peer has answered.
-  void OnAnswer(const common::HostId& lender, const RateLoan& loan,
-                common::SteadyTime now);
+  /// Records a peer's reply to a loan request.
+  void OnLoanReply(const common::HostId& lender, const RateLoan& loan,
+                   common::SteadyTime now);
 
  private:
   struct Lender {
-    common::SteadyTime asked;
-    /// When a loan that it gave is back at the lender.
+    common::SteadyTime last_asked;
+    /// When the loan that it granted has ended at the lender.
     std::optional<common::SteadyTime> lending_until;
   };
 
--- a/Source/Core/Process/local_rate_limiter.cc
+++ b/Source/Core/Process/local_rate_limiter.cc
@@ -11,62 +11,63 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Products of a rate and a time in nanoseconds exceed 64 bits.
-using Wide = __int128;
+/// A product of a rate and a time in nanoseconds exceeds 64 bits.
+using Int128 = __int128;
 
-constexpr Wide kNanosecondsPerSecond = 1'000'000'000;
+constexpr Int128 kNanosecondsPerSecond = 1'000'000'000;
 constexpr std::int64_t kRefillPermille = 1000 - kClockErrorPermille;
-/// Units in one millitoken: a rate of one millitoken per second gains
-/// kRefillPermille units in one nanosecond.
-constexpr Wide kUnitsPerMillitoken = kNanosecondsPerSecond * 1000;
+/// Sub-units of one millitoken: a rate of one millitoken per second gains
+/// kRefillPermille of them in one nanosecond.
+constexpr Int128 kUnitsPerMillitoken = kNanosecondsPerSecond * 1000;
 
-/// Requests are counted in periods of this length to estimate the demand.
+/// Length of the periods in which requests are counted to estimate the demand.
 constexpr Duration kDemandPeriod = seconds(1);
-/// Number of periods that the mean demand goes back.
+/// The mean demand is an exponential moving average with weight 1 /
+/// kMeanPeriods per period.
 constexpr std::int64_t kMeanPeriods = 4;
-/// After so many periods without requests the mean is zero.
-constexpr std::int64_t kMostPeriods = 100;
-/// A period that has just begun counts as this long, so that a few requests in
-/// a row are not taken for a high demand.
-constexpr Duration kShortestDemandSample = milliseconds(250);
-/// A daemon asks for a loan when it would run dry within this time, which
-/// covers a round trip to another region several times over.
+/// After this many periods without requests the mean demand is zero.
+constexpr std::int64_t kMaxElapsedPeriods = 100;
+/// Minimum time over which the demand of the current period is averaged, so
+/// that a few consecutive requests are not taken for a high demand.
+constexpr Duration kMinDemandSample = milliseconds(250);
+/// A daemon asks for a loan if its bucket would be empty within this time,
+/// which covers several round trips to another region.
 constexpr Duration kBorrowHorizon = seconds(1);
-/// Gap between requests while they bring loans, after the first ones that do
-/// not, and when none of many did. Doubling the gap with each empty answer left
-/// a daemon that had all of a workspace's requests far below the rate, because
-/// it came back to its seven lenders long after their loans had ended.
-constexpr Duration kShortRequestGap = milliseconds(250);
-constexpr Duration kMediumRequestGap = milliseconds(500);
-constexpr Duration kLongRequestGap = seconds(2);
-constexpr std::uint32_t kRequestsUntilLongGap = 8;
-/// Answer to a caller when no refill will admit its request.
-constexpr Duration kRetryWithoutRate = seconds(1);
-
-/// Demand varies between periods; a quarter more is kept or wanted.
-constexpr Millitokens WithReserve(Millitokens demand) {
+/// Interval between loan requests: while they bring loans, after the first
+/// requests without a loan, and after many of them. Exponential backoff is not
+/// used: a daemon that received all of a workspace's requests then stayed far
+/// below the rate, because it returned to its seven lenders long after their
+/// loans had ended.
+constexpr Duration kShortBorrowInterval = milliseconds(250);
+constexpr Duration kMediumBorrowInterval = milliseconds(500);
+constexpr Duration kLongBorrowInterval = seconds(2);
+constexpr std::uint32_t kRequestsUntilLongInterval = 8;
+/// Retry delay reported to the caller if no refill will ever admit its request.
+constexpr Duration kRetryDelayWithoutRate = seconds(1);
+
+/// Adds headroom of a quarter, since demand varies between periods.
+constexpr Millitokens WithHeadroom(Millitokens demand) {
   return demand + demand / 4;
 }
 
-Millitokens PerSecondTimes(Millitokens rate, Duration duration) {
-  const Wide product = static_cast<Wide>(rate) * duration.count();
+Millitokens AmountOver(Millitokens rate, Duration duration) {
+  const Int128 product = static_cast<Int128>(rate) * duration.count();
   return static_cast<Millitokens>(product / kNanosecondsPerSecond);
 }
 
-/// Rate of a number of requests in a time.
-Millitokens PerSecond(std::int64_t requests, Duration duration) {
+/// Rate of a number of requests within a duration.
+Millitokens RatePerSecond(std::int64_t requests, Duration duration) {
   return requests * kRequestCost * Duration(seconds(1)).count() /
          duration.count();
 }
 
-/// What remains of an amount after a part of it is taken, the part being
-/// need / whole.
-Millitokens ProportionalRest(Millitokens amount, Millitokens need,
+/// Remainder of an amount after removing the fraction part / whole.
+Millitokens ProportionalRest(Millitokens amount, Millitokens part,
                              Millitokens whole) {
-  if (need >= whole) {
+  if (part >= whole) {
     return 0;
   }
-  const Wide rest = static_cast<Wide>(amount) * (whole - need) / whole;
+  const Int128 rest = static_cast<Int128>(amount) * (whole - part) / whole;
   return static_cast<Millitokens>(rest);
 }
 
@@ -86,40 +87,44 @@
 
 LocalRateLimiter::LocalRateLimiter(const RateLimits& limits, SteadyTime now,
                                    const Policy& policy)
-    : limits(limits), policy(policy), settled(now), demand_start(now) {}
+    : limits(limits),
+      policy(policy),
+      advanced_until(now),
+      demand_period_start(now) {}
 
 Admission LocalRateLimiter::Admit(SteadyTime now, Attempt attempt) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   if (attempt == Attempt::kFirst) {
-    ++this->demand_now;
+    ++this->current_demand;
   }
   if (this->level >= kRequestCost) {
     this->level -= kRequestCost;
     return Admitted{};
   }
-  if (this->current.rate == 0 || this->current.capacity < kRequestCost) {
-    return Refused{kRetryWithoutRate};
+  if (this->effective.rate == 0 || this->effective.capacity < kRequestCost) {
+    return Refused{kRetryDelayWithoutRate};
   }
-  const Wide missing =
-      (kRequestCost - this->level) * kUnitsPerMillitoken - this->fraction;
-  const Wide gain = static_cast<Wide>(this->current.rate) * kRefillPermille;
+  const Int128 missing =
+      (kRequestCost - this->level) * kUnitsPerMillitoken - this->level_fraction;
+  const Int128 gain =
+      static_cast<Int128>(this->effective.rate) * kRefillPermille;
   return Refused{
       Duration(static_cast<Duration::rep>((missing + gain - 1) / gain))};
 }
 
 void LocalRateLimiter::AddSlot(RateSlotNumber slot, SteadyTime lease_end,
                                SteadyTime now) {
-  this->Settle(now);
-  if (lease_end <= this->settled) {
+  this->AdvanceTo(now);
+  if (lease_end <= this->advanced_until) {
     return;
   }
   this->slots[slot] = lease_end;
-  this->Recompute();
+  this->RecomputeLimits();
 }
 
 void LocalRateLimiter::RenewSlot(RateSlotNumber slot, SteadyTime lease_end,
                                  SteadyTime now) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   const auto found = this->slots.find(slot);
   if (found == this->slots.end()) {
     return;
@@ -128,58 +133,62 @@
 }
 
 void LocalRateLimiter::RemoveSlot(RateSlotNumber slot, SteadyTime now) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   this->slots.erase(slot);
-  this->Recompute();
+  this->RecomputeLimits();
 }
 
 void LocalRateLimiter::SetLimits(const RateLimits& changed, SteadyTime now) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   if (changed.total_slots != this->limits.total_slots) {
-    SlotChange change{.fewest = this->limits.total_slots,
-                      .most = this->limits.total_slots,
-                      .end = this->settled + GrantorPeriod(kSlotLeaseDuration)};
-    if (this->slot_change) {
-      change.fewest = this->slot_change->fewest;
-      change.most = this->slot_change->most;
+    SlotCountChange change{
+        .min_slots = this->limits.total_slots,
+        .max_slots = this->limits.total_slots,
+        .end = this->advanced_until + GrantorPeriod(kSlotLeaseDuration)};
+    if (this->slot_count_change) {
+      change.min_slots = this->slot_count_change->min_slots;
+      change.max_slots = this->slot_count_change->max_slots;
     }
-    change.fewest = std::min(change.fewest, changed.total_slots);
-    change.most = std::max(change.most, changed.total_slots);
-    this->slot_change = change;
+    change.min_slots = std::min(change.min_slots, changed.total_slots);
+    change.max_slots = std::max(change.max_slots, changed.total_slots);
+    this->slot_count_change = change;
   }
   this->limits = changed;
-  this->Recompute();
+  this->RecomputeLimits();
 }
 
 RateLoan LocalRateLimiter::Lend(Millitokens wanted, SteadyTime now) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   if (wanted <= 0) {
     return RateLoan{};
   }
-  const SteadyTime back = this->settled + GrantorPeriod(kLoanDuration);
-  // A slot whose lease ends before the loan is back could by then be used by
+  const SteadyTime returned_at =
+      this->advanced_until + GrantorPeriod(kLoanDuration);
+  // A slot whose lease ends before the loan does could by then be in use by
   // another daemon as well.
-  const Amounts lasting = this->AmountsOfSlotsUntil(back);
-  const Amounts out = this->Given();
+  const BucketLimits held_until_return =
+      this->LimitsOfSlotsHeldUntil(returned_at);
+  const BucketLimits lent = this->LentLimits();
   const Millitokens lendable_rate =
-      std::max<Millitokens>(0, lasting.rate - out.rate);
+      std::max<Millitokens>(0, held_until_return.rate - lent.rate);
   const Millitokens lendable_capacity =
-      std::max<Millitokens>(0, lasting.capacity - out.capacity);
-
-  // The same part of rate, capacity and level stays as the own demand needs of
-  // the rate, and one token at least, so that the first request after an idle
-  // time is admitted. A share too small to ever hold a token is of use only to
-  // a borrower that puts several such shares together.
-  const Millitokens need = this->LenderNeed();
-  const Millitokens reserve =
+      std::max<Millitokens>(0, held_until_return.capacity - lent.capacity);
+
+  // Of rate, capacity and level, the lender keeps the fraction that its own
+  // demand needs of the rate, and at least one token, so that the first request
+  // after an idle period is admitted. A share too small to ever hold a token is
+  // useful only to a borrower that combines several such shares.
+  const Millitokens own_demand = this->OwnDemandRate();
+  const Millitokens min_reserve =
       lendable_capacity >= kRequestCost ? kRequestCost : 0;
-  const Millitokens spare_rate = std::max<Millitokens>(0, lendable_rate - need);
+  const Millitokens spare_rate =
+      std::max<Millitokens>(0, lendable_rate - own_demand);
   const Millitokens spare_capacity =
-      std::min(ProportionalRest(lendable_capacity, need, lendable_rate),
-               lendable_capacity - reserve);
+      std::min(ProportionalRest(lendable_capacity, own_demand, lendable_rate),
+               lendable_capacity - min_reserve);
   const Millitokens spare_level =
-      std::min(ProportionalRest(this->level, need, lendable_rate),
-               std::max<Millitokens>(0, this->level - reserve));
+      std::min(ProportionalRest(this->level, own_demand, lendable_rate),
+               std::max<Millitokens>(0, this->level - min_reserve));
 
   const Millitokens wanted_rate = std::max<Millitokens>(
       1, wanted / std::chrono::duration_cast<seconds>(kLoanDuration).count());
@@ -187,114 +196,115 @@
   loan.rate = std::min(spare_rate, wanted_rate);
   loan.level = std::min({spare_level, spare_capacity, wanted});
   loan.capacity = std::min(spare_capacity, std::max(loan.level, wanted));
-  loan.length = kLoanDuration;
+  loan.duration = kLoanDuration;
   if (loan.capacity == 0 || (loan.rate == 0 && loan.level == 0)) {
     return RateLoan{};
   }
   this->level -= loan.level;
-  this->given.push_back(
-      RunningLoan{.rate = loan.rate, .capacity = loan.capacity, .end = back});
-  this->Recompute();
+  this->loans_given.push_back(ActiveLoan{
+      .rate = loan.rate, .capacity = loan.capacity, .end = returned_at});
+  this->RecomputeLimits();
   return loan;
 }
 
 std::optional<BorrowRequest> LocalRateLimiter::NextBorrowRequest(
     SteadyTime now) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   if (this->last_request &&
-      this->settled < *this->last_request + this->RequestGap()) {
+      this->advanced_until < *this->last_request + this->BorrowInterval()) {
     return std::nullopt;
   }
   const Millitokens demand = this->ProjectedDemandRate();
   if (demand == 0) {
     return std::nullopt;
   }
-  // Loans that end within the horizon do not count, so that the next loan is
-  // here when they end.
-  const Millitokens lasting_rate = this->RateAt(this->settled + kBorrowHorizon);
-  const Millitokens needed =
-      PerSecondTimes(demand, kBorrowHorizon) + kRequestCost;
+  // Loans that end within the horizon are not counted, so that the next loan
+  // arrives before they end.
+  const Millitokens lasting_rate =
+      this->RateAt(this->advanced_until + kBorrowHorizon);
+  const Millitokens needed = AmountOver(demand, kBorrowHorizon) + kRequestCost;
   const Millitokens expected =
-      this->level + PerSecondTimes(lasting_rate, kBorrowHorizon);
+      this->level + AmountOver(lasting_rate, kBorrowHorizon);
   if (this->level >= kRequestCost && expected >= needed) {
     return std::nullopt;
   }
   const Millitokens missing_rate =
-      std::max<Millitokens>(0, WithReserve(demand) - lasting_rate);
+      std::max<Millitokens>(0, WithHeadroom(demand) - lasting_rate);
   const Millitokens missing_level =
       std::max(kRequestCost, needed - this->level);
-  this->last_request = this->settled;
+  this->last_request = this->advanced_until;
   ++this->requests_without_loan;
-  this->open_requests.push_back(now);
-  return BorrowRequest{PerSecondTimes(missing_rate, kLoanDuration) +
-                       missing_level};
+  this->pending_requests.push_back(now);
+  return BorrowRequest{AmountOver(missing_rate, kLoanDuration) + missing_level};
 }
 
-void LocalRateLimiter::AcceptLoan(SteadyTime now_before_request,
-                                  const RateLoan& loan, SteadyTime now) {
-  this->Settle(now);
-  const auto request = std::find(this->open_requests.begin(),
-                                 this->open_requests.end(), now_before_request);
-  if (request == this->open_requests.end()) {
+void LocalRateLimiter::AcceptLoan(SteadyTime requested_at, const RateLoan& loan,
+                                  SteadyTime now) {
+  this->AdvanceTo(now);
+  const auto request = std::find(this->pending_requests.begin(),
+                                 this->pending_requests.end(), requested_at);
+  if (request == this->pending_requests.end()) {
     return;
   }
-  this->open_requests.erase(request);
+  this->pending_requests.erase(request);
   const SteadyTime start = this->policy.loan_counts_from_request
-                               ? now_before_request
-                               : this->settled;
+                               ? requested_at
+                               : this->advanced_until;
   const SteadyTime end =
-      start + HolderPeriod(std::min<Duration>(loan.length, kLoanDuration));
-  if (loan.Empty() || end <= this->settled) {
+      start + HolderPeriod(std::min<Duration>(loan.duration, kLoanDuration));
+  if (loan.Empty() || end <= this->advanced_until) {
     return;
   }
   this->requests_without_loan = 0;
-  this->taken.push_back(
-      RunningLoan{.rate = loan.rate, .capacity = loan.capacity, .end = end});
-  this->Recompute();
+  this->loans_taken.push_back(
+      ActiveLoan{.rate = loan.rate, .capacity = loan.capacity, .end = end});
+  this->RecomputeLimits();
   this->level = std::min(this->level + std::min(loan.level, loan.capacity),
-                         this->current.capacity);
+                         this->effective.capacity);
 }
 
 Millitokens LocalRateLimiter::Rate(SteadyTime now) {
-  this->Settle(now);
-  return this->current.rate;
+  this->AdvanceTo(now);
+  return this->effective.rate;
 }
 
 Millitokens LocalRateLimiter::Capacity(SteadyTime now) {
-  this->Settle(now);
-  return this->current.capacity;
+  this->AdvanceTo(now);
+  return this->effective.capacity;
 }
 
 Millitokens LocalRateLimiter::Level(SteadyTime now) {
-  this->Settle(now);
+  this->AdvanceTo(now);
   return this->level;
 }
 
-/// Refills up to now, with the rate and capacity of each moment in between.
-void LocalRateLimiter::Settle(SteadyTime now) {
-  now = std::max(now, this->settled);
-  while (const std::optional<SteadyTime> end = this->NextEnd(now)) {
+/// Refills the bucket up to now, using the rate and capacity in effect at each
+/// moment in between.
+void LocalRateLimiter::AdvanceTo(SteadyTime now) {
+  now = std::max(now, this->advanced_until);
+  while (const std::optional<SteadyTime> end = this->NextExpiry(now)) {
     this->Refill(*end);
-    this->settled = *end;
-    this->DropEnded();
-    this->Recompute();
+    this->advanced_until = *end;
+    this->RemoveExpired();
+    this->RecomputeLimits();
   }
   this->Refill(now);
-  this->settled = now;
+  this->advanced_until = now;
 
-  const std::int64_t periods = (now - this->demand_start) / kDemandPeriod;
-  for (std::int64_t period = 0; period < std::min(periods, kMostPeriods);
+  const std::int64_t periods =
+      (now - this->demand_period_start) / kDemandPeriod;
+  for (std::int64_t period = 0; period < std::min(periods, kMaxElapsedPeriods);
        ++period) {
-    this->NextDemandPeriod();
+    this->StartDemandPeriod();
   }
-  this->demand_start += periods * kDemandPeriod;
-  std::erase_if(this->open_requests, [now](SteadyTime request) {
+  this->demand_period_start += periods * kDemandPeriod;
+  std::erase_if(this->pending_requests, [now](SteadyTime request) {
     return request + kLoanDuration <= now;
   });
 }
 
-/// Earliest time, up to now, at which a slot, a loan or a change ends.
-std::optional<SteadyTime> LocalRateLimiter::NextEnd(SteadyTime now) const {
+/// Earliest expiry of a slot, a loan or a slot count change, up to now.
+std::optional<SteadyTime> LocalRateLimiter::NextExpiry(SteadyTime now) const {
   std::optional<SteadyTime> next;
   const auto consider = [&next, now](SteadyTime end) {
     if (end <= now && (!next || end < *next)) {
@@ -304,157 +314,158 @@
   for (const auto& [slot, end] : this->slots) {
     consider(end);
   }
-  for (const RunningLoan& loan : this->given) {
+  for (const ActiveLoan& loan : this->loans_given) {
     consider(loan.end);
   }
-  for (const RunningLoan& loan : this->taken) {
+  for (const ActiveLoan& loan : this->loans_taken) {
     consider(loan.end);
   }
-  if (this->slot_change) {
-    consider(this->slot_change->end);
+  if (this->slot_count_change) {
+    consider(this->slot_count_change->end);
   }
   return next;
 }
 
-void LocalRateLimiter::DropEnded() {
-  const SteadyTime now = this->settled;
-  const auto loan_ended = [now](const RunningLoan& loan) {
+void LocalRateLimiter::RemoveExpired() {
+  const SteadyTime now = this->advanced_until;
+  const auto is_expired = [now](const ActiveLoan& loan) {
     return loan.end <= now;
   };
   std::erase_if(this->slots,
                 [now](const auto& slot) { return slot.second <= now; });
-  std::erase_if(this->given, loan_ended);
-  std::erase_if(this->taken, loan_ended);
-  if (this->slot_change && this->slot_change->end <= now) {
-    this->slot_change.reset();
+  std::erase_if(this->loans_given, is_expired);
+  std::erase_if(this->loans_taken, is_expired);
+  if (this->slot_count_change && this->slot_count_change->end <= now) {
+    this->slot_count_change.reset();
   }
 }
 
 void LocalRateLimiter::Refill(SteadyTime until) {
-  const Wide elapsed = (until - this->settled).count();
-  const Wide units =
-      this->fraction + elapsed * this->current.rate * kRefillPermille;
-  const Wide whole = units / kUnitsPerMillitoken;
-  if (whole >= this->current.capacity - this->level) {
-    this->level = this->current.capacity;
-    this->fraction = 0;
+  const Int128 elapsed = (until - this->advanced_until).count();
+  const Int128 units =
+      this->level_fraction + elapsed * this->effective.rate * kRefillPermille;
+  const Int128 whole = units / kUnitsPerMillitoken;
+  if (whole >= this->effective.capacity - this->level) {
+    this->level = this->effective.capacity;
+    this->level_fraction = 0;
     return;
   }
   this->level += static_cast<Millitokens>(whole);
-  this->fraction = static_cast<std::int64_t>(units % kUnitsPerMillitoken);
+  this->level_fraction = static_cast<std::int64_t>(units % kUnitsPerMillitoken);
 }
 
-/// Applies what the daemon holds now; the caller has refilled.
-void LocalRateLimiter::Recompute() {
-  const Amounts held = this->AmountsOfSlotsUntil(this->settled);
-  const Amounts out = this->Given();
-  this->current.rate = std::max<Millitokens>(0, held.rate - out.rate);
-  this->current.capacity =
-      std::max<Millitokens>(0, held.capacity - out.capacity);
-  for (const RunningLoan& loan : this->taken) {
-    this->current.rate += loan.rate;
-    this->current.capacity += loan.capacity;
-  }
-  if (this->level >= this->current.capacity) {
-    this->level = this->current.capacity;
-    this->fraction = 0;
+/// Recomputes the effective limits. The bucket must have been refilled up to
+/// now.
+void LocalRateLimiter::RecomputeLimits() {
+  const BucketLimits held = this->LimitsOfSlotsHeldUntil(this->advanced_until);
+  const BucketLimits lent = this->LentLimits();
+  this->effective.rate = std::max<Millitokens>(0, held.rate - lent.rate);
+  this->effective.capacity =
+      std::max<Millitokens>(0, held.capacity - lent.capacity);
+  for (const ActiveLoan& loan : this->loans_taken) {
+    this->effective.rate += loan.rate;
+    this->effective.capacity += loan.capacity;
+  }
+  if (this->level >= this->effective.capacity) {
+    this->level = this->effective.capacity;
+    this->level_fraction = 0;
   }
 }
 
-LocalRateLimiter::Amounts LocalRateLimiter::SlotAmounts(
+LocalRateLimiter::BucketLimits LocalRateLimiter::LimitsOfSlot(
     RateSlotNumber slot) const {
   std::uint32_t usable = this->limits.total_slots;
   std::uint32_t total = this->limits.total_slots;
-  if (this->slot_change) {
-    usable = this->slot_change->fewest;
-    total = this->slot_change->most;
+  if (this->slot_count_change) {
+    usable = this->slot_count_change->min_slots;
+    total = this->slot_count_change->max_slots;
   }
   if (slot >= usable) {
-    return Amounts{};
+    return BucketLimits{};
   }
-  return Amounts{
+  return BucketLimits{
       .rate = PerSlotAmount(Millitokens{this->limits.rate} * 1000, total, slot),
       .capacity =
           PerSlotAmount(Millitokens{this->limits.burst} * 1000, total, slot),
   };
 }
 
-LocalRateLimiter::Amounts LocalRateLimiter::AmountsOfSlotsUntil(
+LocalRateLimiter::BucketLimits LocalRateLimiter::LimitsOfSlotsHeldUntil(
     SteadyTime end) const {
-  Amounts sum;
+  BucketLimits sum;
   for (const auto& [slot, lease_end] : this->slots) {
     if (lease_end < end) {
       continue;
     }
-    const Amounts amounts = this->SlotAmounts(slot);
-    sum.rate += amounts.rate;
-    sum.capacity += amounts.capacity;
+    const BucketLimits slot_limits = this->LimitsOfSlot(slot);
+    sum.rate += slot_limits.rate;
+    sum.capacity += slot_limits.capacity;
   }
   return sum;
 }
 
-LocalRateLimiter::Amounts LocalRateLimiter::Given() const {
-  Amounts sum;
-  for (const RunningLoan& loan : this->given) {
+LocalRateLimiter::BucketLimits LocalRateLimiter::LentLimits() const {
+  BucketLimits sum;
+  for (const ActiveLoan& loan : this->loans_given) {
     sum.rate += loan.rate;
     sum.capacity += loan.capacity;
   }
   return sum;
 }
 
-void LocalRateLimiter::NextDemandPeriod() {
-  const Millitokens rate = PerSecond(this->demand_now, kDemandPeriod);
-  this->demand_mean =
-      this->HasRisen(rate)
+void LocalRateLimiter::StartDemandPeriod() {
+  const Millitokens rate = RatePerSecond(this->current_demand, kDemandPeriod);
+  this->mean_demand =
+      this->IsDemandIncrease(rate)
           ? rate
-          : this->demand_mean + (rate - this->demand_mean) / kMeanPeriods;
-  this->demand_before = this->demand_now;
-  this->demand_now = 0;
+          : this->mean_demand + (rate - this->mean_demand) / kMeanPeriods;
+  this->previous_demand = this->current_demand;
+  this->current_demand = 0;
 }
 
-/// True if a period's demand is above the mean by more than chance makes
-/// likely.
-bool LocalRateLimiter::HasRisen(Millitokens rate) const {
-  return rate > 2 * this->demand_mean + 2 * kRequestCost;
+/// True if a period's demand exceeds the mean by more than random variation
+/// makes likely.
+bool LocalRateLimiter::IsDemandIncrease(Millitokens rate) const {
+  return rate > 2 * this->mean_demand + 2 * kRequestCost;
 }
 
-/// Rate that the own demand needs while a loan runs. The mean over some seconds
-/// is used because the larger of the last two seconds overstates a small random
-/// demand, so that too little is lent.
-Millitokens LocalRateLimiter::LenderNeed() const {
-  const Millitokens rate = PerSecond(this->demand_now, kDemandPeriod);
-  return WithReserve(this->HasRisen(rate) ? rate : this->demand_mean);
+/// Rate to reserve for this daemon's own demand while a loan runs. The mean
+/// over some seconds is used, because the larger of the last two seconds
+/// overstates a small random demand, so that too little is lent.
+Millitokens LocalRateLimiter::OwnDemandRate() const {
+  const Millitokens rate = RatePerSecond(this->current_demand, kDemandPeriod);
+  return WithHeadroom(this->IsDemandIncrease(rate) ? rate : this->mean_demand);
 }
 
-/// Demand if the present period goes on as it began. Only a borrower uses it:
-/// a lender that took a few requests in a row for its demand would keep rate
-/// that it does not need.
+/// Projected demand if the current period continues as it began. Only a
+/// borrower uses it: a lender that mistook a few consecutive requests for its
+/// demand would keep rate that it does not need.
 Millitokens LocalRateLimiter::ProjectedDemandRate() const {
-  const Duration elapsed =
-      std::max(this->settled - this->demand_start, kShortestDemandSample);
-  return std::max(PerSecond(this->demand_now, elapsed),
-                  PerSecond(this->demand_before, kDemandPeriod));
+  const Duration elapsed = std::max(
+      this->advanced_until - this->demand_period_start, kMinDemandSample);
+  return std::max(RatePerSecond(this->current_demand, elapsed),
+                  RatePerSecond(this->previous_demand, kDemandPeriod));
 }
 
-Duration LocalRateLimiter::RequestGap() const {
+Duration LocalRateLimiter::BorrowInterval() const {
   if (this->requests_without_loan <= 1) {
-    return kShortRequestGap;
+    return kShortBorrowInterval;
   }
-  return this->requests_without_loan <= kRequestsUntilLongGap
-             ? kMediumRequestGap
-             : kLongRequestGap;
+  return this->requests_without_loan <= kRequestsUntilLongInterval
+             ? kMediumBorrowInterval
+             : kLongBorrowInterval;
 }
 
-/// Rate at a later time if nothing is added.
+/// Rate at a later time if no slot or loan is added.
 Millitokens LocalRateLimiter::RateAt(SteadyTime time) const {
-  Amounts sum = this->AmountsOfSlotsUntil(time);
-  for (const RunningLoan& loan : this->given) {
+  BucketLimits sum = this->LimitsOfSlotsHeldUntil(time);
+  for (const ActiveLoan& loan : this->loans_given) {
     if (loan.end > time) {
       sum.rate -= loan.rate;
     }
   }
   sum.rate = std::max<Millitokens>(0, sum.rate);
-  for (const RunningLoan& loan : this->taken) {
+  for (const ActiveLoan& loan : this->loans_taken) {
     if (loan.end > time) {
       sum.rate += loan.rate;
     }
--- a/Source/Core/Process/local_rate_limiter.h
+++ b/Source/Core/Process/local_rate_limiter.h
@@ -12,103 +12,109 @@
 
 namespace camphorferry::process {
 
-/// Thousandths of a token; one request costs 1,000.
+/// Thousandths of a token; one request costs kRequestCost.
 using Millitokens = std::int64_t;
 
-/// Number of a rate slot within the whole fleet, from zero.
+/// Index of a rate slot within the whole fleet, from zero.
 using RateSlotNumber = std::uint32_t;
 
-/// Cost of one request.
 inline constexpr Millitokens kRequestCost = 1000;
 
-/// Largest error of a host's clock rate that the rate limits allow for, in
-/// parts per thousand. Buckets refill slower by this part, because a fast clock
-/// would otherwise admit above the rate.
+/// Maximum error of a host's clock rate that the rate limits tolerate, in parts
+/// per thousand. Buckets refill slower by this fraction, because a fast clock
+/// would otherwise admit more than the rate.
 inline constexpr std::int64_t kClockErrorPermille = 5;
 
-/// Length of a loan as its borrower and its lender name it.
+/// Agreed duration of a loan between lender and borrower.
 inline constexpr common::Duration kLoanDuration = std::chrono::seconds(5);
 
-/// Length of a slot's lease as its holder and its takers name it.
+/// Agreed duration of a rate slot's lease.
 inline constexpr common::Duration kSlotLeaseDuration = std::chrono::minutes(90);
 
-/// Time that the side which gives something away for a while waits until it
-/// uses it again: 1% more than agreed.
+/// Time after which the grantor of a lease or loan may reuse what it granted:
+/// 1% more than agreed, to allow for clock errors.
 constexpr common::Duration GrantorPeriod(common::Duration agreed) {
   return agreed + agreed / 100;
 }
 
-/// Time that the side which got something for a while uses it. Two clocks that
-/// are off by 0.5% in opposite directions differ by 1.005 / 0.995, which is
-/// 0.005% more than the giver's 1%; stopping 0.01% early covers that.
+/// Time for which the holder of a lease or loan may use it. Two clocks that are
+/// off by 0.5% in opposite directions differ by a factor of 1.005 / 0.995,
+/// which is 0.005% more than the grantor's 1%; stopping 0.01% early covers
+/// that.
 constexpr common::Duration HolderPeriod(common::Duration agreed) {
   return agreed - agreed / 10000;
 }
 
-/// Part of a fleet-wide amount that one slot stands for. The remainder of the
-/// division goes to the lowest slots, so the parts add up to the amount.
+/// Part of a fleet-wide amount that belongs to one slot. The remainder of the
+/// division goes to the lowest slots, so that the parts add up to the amount.
 Millitokens PerSlotAmount(Millitokens amount, std::uint32_t total_slots,
                           RateSlotNumber slot);
 
-/// Limits of one workspace over the whole fleet.
+/// Fleet-wide limits of one workspace.
 struct RateLimits {
   /// Tokens per second.
   std::uint32_t rate = 0;
-  /// Tokens above the rate that may be used at once.
+  /// Tokens above the rate that may be used at once (capacity of the fleet-wide
+  /// bucket).
   std::uint32_t burst = 0;
-  /// Number of rate slots of all failure domains together.
+  /// Total number of rate slots over all failure domains.
   std::uint32_t total_slots = 1;
 
   bool operator==(const RateLimits&) const = default;
 };
 
-/// Part of a workspace's rate that one daemon lends to another. All zero if
-/// the lender has nothing to spare.
+/// Part of a workspace's rate that one daemon lends to another. All zero if the
+/// lender has nothing to spare.
 struct RateLoan {
   /// Millitokens per second.
   Millitokens rate = 0;
-  /// Largest level that the borrower's bucket may gain.
+  /// Capacity added to the borrower's bucket.
   Millitokens capacity = 0;
-  /// Millitokens that come with the loan.
+  /// Millitokens transferred with the loan.
   Millitokens level = 0;
-  /// Counted by the borrower from before it sent the request.
-  common::Duration length = common::Duration::zero();
+  /// The borrower counts it from before it sent the request.
+  common::Duration duration = common::Duration::zero();
 
   bool Empty() const { return this->capacity == 0; }
   bool operator==(const RateLoan&) const = default;
 };
 
-/// The request may run; its token is deducted.
+/// The request is admitted; its token has been deducted.
 struct Admitted {};
 
-/// The request exceeds what this daemon may admit now.
+/// The request exceeds what this daemon may currently admit.
 struct Refused {
   common::Duration retry_after;
 };
 
 using Admission = std::variant<Admitted, Refused>;
 
-/// Whether a request asks for the first time. One that was refused, waited and
-/// asks again is not new demand.
+/// Whether a request asks for admission for the first time. A retry of a
+/// refused request is not new demand.
 enum class Attempt { kFirst, kRetry };
 
-/// A request for a loan that is to be sent now.
+/// A loan request to be sent now.
 struct BorrowRequest {
   Millitokens wanted = 0;
 };
 
-/// Rate limit of one workspace at one daemon: one token bucket whose rate and
-/// capacity are those of the rate slots held, less loans given, plus loans
-/// taken. Levels only move between daemons or get lost, and a part of the
-/// capacity is never at two daemons, so the fleet's levels never exceed the
-/// burst. Every method takes the time on this daemon's steady clock and first
-/// ends what has expired by then, so that a daemon which was paused does not
-/// use an ended lease or loan.
+/// Rate limiter of one workspace at one daemon.
+///
+/// It is one token bucket. Its rate and capacity are those of the rate slots
+/// that the daemon holds, less loans given, plus loans taken. Tokens only move
+/// between daemons or get lost, and no part of the capacity is ever at two
+/// daemons, so the fleet's bucket levels never exceed the burst.
+///
+/// Every method takes the current time of this daemon's steady clock and first
+/// ends the leases and loans that have expired by then, so that a daemon that
+/// was paused does not use an expired lease or loan.
 class LocalRateLimiter {
  public:
-  /// Switches that break the rules, for tests of the checks themselves.
+  /// Safety rules that only tests disable, to verify that the violations are
+  /// detected.
   struct Policy {
-    /// Count a loan from before its request; otherwise from its answer.
+    /// If true, a loan is counted from before its request, otherwise from its
+    /// reply.
     bool loan_counts_from_request = true;
   };
 
@@ -116,10 +122,11 @@
   LocalRateLimiter(const RateLimits& limits, common::SteadyTime now,
                    const Policy& policy);
 
-  /// Decides about one request and deducts its token.
+  /// Decides whether to admit one request, and deducts its token.
   Admission Admit(common::SteadyTime now, Attempt attempt = Attempt::kFirst);
 
-  /// Adds a slot whose lease ends at the given time; it brings no tokens.
+  /// Adds a slot whose lease ends at the given time. A new slot brings no
+  /// tokens.
   void AddSlot(RateSlotNumber slot, common::SteadyTime lease_end,
                common::SteadyTime now);
 
@@ -127,97 +134,102 @@
   void RenewSlot(RateSlotNumber slot, common::SteadyTime lease_end,
                  common::SteadyTime now);
 
-  /// Stops using a slot. Loans that were given from it end within
-  /// GrantorPeriod(kLoanDuration); the slot may go to another daemon only then.
+  /// Stops using a slot. Loans given from it end within
+  /// GrantorPeriod(kLoanDuration); only then may the slot go to another daemon.
   void RemoveSlot(RateSlotNumber slot, common::SteadyTime now);
 
-  /// Changes the limits. Lower limits cut the level at once; higher ones bring
-  /// no tokens. After a change of the number of slots, each slot counts as the
-  /// smaller of both fractions until no lease from before the change runs.
+  /// Changes the limits. Lower limits cut the level at once; higher limits
+  /// bring no tokens. After a change of the number of slots, each slot counts
+  /// as the smaller of both fractions until no lease from before the change
+  /// remains.
   void SetLimits(const RateLimits& limits, common::SteadyTime now);
 
-  /// Lends what recent demand here leaves over, at most what is wanted for the
-  /// length of a loan. The loan is deducted before this returns.
+  /// Lends what the recent local demand does not need, at most `wanted`
+  /// millitokens over the duration of a loan. The loan is deducted before this
+  /// returns.
   RateLoan Lend(Millitokens wanted, common::SteadyTime now);
 
-  /// A request for a loan, if this daemon will run dry soon and has not asked
-  /// too recently. Borrow expects the same time as now_before_request.
+  /// Returns a loan request if the bucket will soon be empty and none was sent
+  /// recently. The reply is passed to AcceptLoan with this `now` as
+  /// `requested_at`.
   std::optional<BorrowRequest> NextBorrowRequest(common::SteadyTime now);
 
-  /// Takes a loan that answers the request which NextBorrowRequest returned at
-  /// now_before_request. A second answer to one request is ignored.
-  void AcceptLoan(common::SteadyTime now_before_request, const RateLoan& loan,
+  /// Adds the loan granted in response to the request that NextBorrowRequest
+  /// returned at `requested_at`. A second response to the same request is
+  /// ignored.
+  void AcceptLoan(common::SteadyTime requested_at, const RateLoan& loan,
                   common::SteadyTime now);
 
-  /// Millitokens per second that this daemon may use now.
+  /// Current rate in millitokens per second.
   Millitokens Rate(common::SteadyTime now);
 
-  /// Largest level that the bucket may reach now.
+  /// Current capacity of the bucket in millitokens.
   Millitokens Capacity(common::SteadyTime now);
 
-  /// Millitokens in the bucket now.
+  /// Current level of the bucket in millitokens.
   Millitokens Level(common::SteadyTime now);
 
  private:
-  /// A loan given or taken, and when it stops counting here.
-  struct RunningLoan {
+  /// A loan given or taken, and when it expires at this daemon.
+  struct ActiveLoan {
     Millitokens rate = 0;
     Millitokens capacity = 0;
     common::SteadyTime end;
   };
 
-  /// Two numbers of slots that daemons may use at the same time.
-  struct SlotChange {
-    std::uint32_t fewest = 0;
-    std::uint32_t most = 0;
+  /// Smallest and largest number of slots that daemons may assume at the same
+  /// time, until all of them use the new number.
+  struct SlotCountChange {
+    std::uint32_t min_slots = 0;
+    std::uint32_t max_slots = 0;
     common::SteadyTime end;
   };
 
-  /// Rate and capacity at one moment.
-  struct Amounts {
+  /// Rate in millitokens per second, and capacity in millitokens.
+  struct BucketLimits {
     Millitokens rate = 0;
     Millitokens capacity = 0;
   };
 
-  void Settle(common::SteadyTime now);
-  std::optional<common::SteadyTime> NextEnd(common::SteadyTime now) const;
-  void DropEnded();
+  void AdvanceTo(common::SteadyTime now);
+  std::optional<common::SteadyTime> NextExpiry(common::SteadyTime now) const;
+  void RemoveExpired();
   void Refill(common::SteadyTime until);
-  void Recompute();
-  Amounts SlotAmounts(RateSlotNumber slot) const;
-  Amounts AmountsOfSlotsUntil(common::SteadyTime end) const;
-  Amounts Given() const;
-  void NextDemandPeriod();
-  bool HasRisen(Millitokens rate) const;
-  Millitokens LenderNeed() const;
+  void RecomputeLimits();
+  BucketLimits LimitsOfSlot(RateSlotNumber slot) const;
+  BucketLimits LimitsOfSlotsHeldUntil(common::SteadyTime end) const;
+  BucketLimits LentLimits() const;
+  void StartDemandPeriod();
+  bool IsDemandIncrease(Millitokens rate) const;
+  Millitokens OwnDemandRate() const;
   Millitokens ProjectedDemandRate() const;
-  common::Duration RequestGap() const;
+  common::Duration BorrowInterval() const;
   Millitokens RateAt(common::SteadyTime time) const;
 
   RateLimits limits;
   Policy policy;
   std::map<RateSlotNumber, common::SteadyTime> slots;
-  std::vector<RunningLoan> given;
-  std::vector<RunningLoan> taken;
-  std::optional<SlotChange> slot_change;
+  std::vector<ActiveLoan> loans_given;
+  std::vector<ActiveLoan> loans_taken;
+  std::optional<SlotCountChange> slot_count_change;
 
-  /// Up to this time everything is accounted for.
-  common::SteadyTime settled;
-  Amounts current;
+  /// Refills and expiries up to this time have been applied.
+  common::SteadyTime advanced_until;
+  BucketLimits effective;
   Millitokens level = 0;
-  /// Gained part of the next millitoken.
-  std::int64_t fraction = 0;
+  /// Refilled part of the next millitoken, in sub-units.
+  std::int64_t level_fraction = 0;
 
-  /// Requests of the present and of the preceding demand period, and the mean
-  /// rate over some periods.
-  common::SteadyTime demand_start;
-  std::int64_t demand_now = 0;
-  std::int64_t demand_before = 0;
-  Millitokens demand_mean = 0;
+  /// Number of requests of the current and the previous demand period, and the
+  /// moving average of their rate.
+  common::SteadyTime demand_period_start;
+  std::int64_t current_demand = 0;
+  std::int64_t previous_demand = 0;
+  Millitokens mean_demand = 0;
 
-  std::vector<common::SteadyTime> open_requests;
+  std::vector<common::SteadyTime> pending_requests;
   std::optional<common::SteadyTime> last_request;
-  /// Requests since the latest one that brought a loan.
+  /// Number of loan requests since the last one that brought a loan.
   std::uint32_t requests_without_loan = 0;
 };
 
--- a/Source/Core/Process/membership.cc
+++ b/Source/Core/Process/membership.cc
@@ -17,23 +17,26 @@
 using common::SteadyTime;
 using std::chrono::seconds;
 
-/// Daemons that get reports pass them on in this many rounds.
-constexpr Duration kNewsPeriod = 3 * kHeartbeatInterval;
-/// Those who find a daemon silent say so again after this time, and without
-/// that the others count it as live again after the longer time. So a daemon
-/// that was cut off returns even if nobody reports that it lives.
-constexpr Duration kSilenceRepeat = seconds(5);
-constexpr Duration kSilencePeriod = seconds(15);
-/// A daemon that is not in the host list is forgotten after this time.
-constexpr Duration kForgetAfter = seconds(60);
-/// A longer time between rounds means that this daemon was paused, and that it
-/// heard nobody for that reason.
-constexpr Duration kLongestRound = 2 * kHeartbeatInterval;
-/// Number of daemons that watch the store for a domain.
-constexpr std::size_t kWatchers = 2;
-
-/// The same of both names for either order, so that both sides of a pair agree
-/// without knowing the same hosts.
+/// A change is included in outgoing heartbeats for this long (three rounds), so
+/// that it spreads by gossip.
+constexpr Duration kGossipPeriod = 3 * kHeartbeatInterval;
+/// Observers of a silent daemon renew their report after kSilentReportInterval.
+/// Without a renewal the other daemons count the daemon as live again after
+/// kSilentReportExpiry, so that a daemon that was cut off returns even if
+/// nobody reports it as live.
+constexpr Duration kSilentReportInterval = seconds(5);
+constexpr Duration kSilentReportExpiry = seconds(15);
+/// A daemon that is not in the host list is removed after this time without
+/// contact.
+constexpr Duration kUnlistedPeerExpiry = seconds(60);
+/// A longer time between rounds indicates that this daemon was paused and
+/// received no heartbeats for that reason.
+constexpr Duration kPauseThreshold = 2 * kHeartbeatInterval;
+constexpr std::size_t kWatchersPerDomain = 2;
+
+/// True if `own` is the one of the two names that initiates heartbeats. The
+/// result depends on both names only, so both sides of a pair agree without
+/// knowing the same hosts.
 template <typename Name>
 bool Initiates(const Name& own, const Name& other) {
   const Name& low = std::min(own, other);
@@ -43,8 +46,8 @@
   return (own == low) == low_initiates;
 }
 
-std::string PairKey(const FailureDomainId& domain,
-                    const FailureDomainId& other) {
+std::string RelayPairKey(const FailureDomainId& domain,
+                         const FailureDomainId& other) {
   return "relay/" + domain.Value() + "/" + other.Value();
 }
 
@@ -73,7 +76,7 @@
       peer->leaving = entry.leaving;
     }
   }
-  this->Forget(now);
+  this->RemoveExpiredPeers(now);
 }
 
 void Membership::OnHeartbeat(const PeerHeartbeat& heartbeat, SteadyTime now) {
@@ -82,11 +85,11 @@
     return;
   }
   if (peer->silent_since || peer->state != heartbeat.state) {
-    peer->news = now;
+    peer->last_change = now;
   }
   peer->state = heartbeat.state;
-  peer->heard = now;
-  peer->heard_directly = now;
+  peer->last_heard = now;
+  peer->last_heard_directly = now;
   peer->silent_since.reset();
   for (const PeerReport& report : heartbeat.reports) {
     this->OnReport(report, now);
@@ -94,12 +97,12 @@
 }
 
 std::vector<HostId> Membership::StartHeartbeatRound(SteadyTime now) {
-  if (now - this->last_round > kLongestRound) {
+  if (now - this->last_round > kPauseThreshold) {
     this->listening_since = now;
   }
   this->last_round = now;
-  this->Forget(now);
-  this->FindSilent(now);
+  this->RemoveExpiredPeers(now);
+  this->DetectSilentPeers(now);
 
   if (!this->domain_targets) {
     this->domain_targets = this->DomainTargets();
@@ -108,12 +111,11 @@
   const std::vector<HostId> relays = this->RelayTargets(now);
   targets.insert(targets.end(), relays.begin(), relays.end());
 
-  const bool small_domain =
-      this->peers[this->domain].size() <= kMaxFullMeshPeers;
+  const bool full_mesh = this->peers[this->domain].size() <= kMaxFullMeshPeers;
   for (auto& [name, members] : this->peers) {
     for (auto& [host, peer] : members) {
       const bool expected =
-          (small_domain && name == this->domain) ||
+          (full_mesh && name == this->domain) ||
           std::find(targets.begin(), targets.end(), host) != targets.end();
       if (!expected) {
         peer.expected_since.reset();
@@ -127,33 +129,35 @@
 
 std::vector<PeerReport> Membership::Reports(const FailureDomainId& receiver,
                                             SteadyTime now) const {
-  std::vector<std::pair<SteadyTime, PeerReport>> news;
+  std::vector<std::pair<SteadyTime, PeerReport>> changes;
   for (const auto& [name, members] : this->peers) {
-    // What this domain finds about others is true for its own links only.
+    // Daemons of this domain can judge other domains' daemons only over their
+    // own links, so those reports stay within the domain.
     if (receiver != this->domain && name != this->domain) {
       continue;
     }
     for (const auto& [host, peer] : members) {
       const std::optional<SteadyTime> known =
-          peer.silent_since ? peer.silent_since : peer.heard;
-      if (!peer.news || now - *peer.news > kNewsPeriod || !known) {
+          peer.silent_since ? peer.silent_since : peer.last_heard;
+      if (!peer.last_change || now - *peer.last_change > kGossipPeriod ||
+          !known) {
         continue;
       }
-      news.emplace_back(*peer.news,
-                        PeerReport{.host = host,
-                                   .incarnation = peer.incarnation,
-                                   .domain = name,
-                                   .state = peer.state,
-                                   .silent = peer.silent_since.has_value(),
-                                   .age = now - *known});
+      changes.emplace_back(*peer.last_change,
+                           PeerReport{.host = host,
+                                      .incarnation = peer.incarnation,
+                                      .domain = name,
+                                      .state = peer.state,
+                                      .silent = peer.silent_since.has_value(),
+                                      .age = now - *known});
     }
   }
-  std::stable_sort(news.begin(), news.end(),
+  std::stable_sort(changes.begin(), changes.end(),
                    [](const auto& left, const auto& right) {
                      return left.first > right.first;
                    });
   std::vector<PeerReport> reports;
-  for (auto& [time, report] : news) {
+  for (auto& [time, report] : changes) {
     if (reports.size() == kMaxPeerReports) {
       break;
     }
@@ -167,21 +171,21 @@
     return this->own_state == PeerState::kLive;
   }
   const Peer* peer = this->Find(host);
-  return peer != nullptr && this->MayOwn(*peer, now);
+  return peer != nullptr && this->CanOwnEndpoints(*peer, now);
 }
 
-std::vector<HostId> Membership::LiveHosts(const FailureDomainId& of,
+std::vector<HostId> Membership::LiveHosts(const FailureDomainId& target_domain,
                                           SteadyTime now) const {
   std::vector<HostId> live;
-  if (of == this->domain && this->own_state == PeerState::kLive) {
+  if (target_domain == this->domain && this->own_state == PeerState::kLive) {
     live.push_back(this->self);
   }
-  const auto members = this->peers.find(of);
+  const auto members = this->peers.find(target_domain);
   if (members == this->peers.end()) {
     return live;
   }
   for (const auto& [host, peer] : members->second) {
-    if (this->MayOwn(peer, now)) {
+    if (this->CanOwnEndpoints(peer, now)) {
       live.push_back(host);
     }
   }
@@ -200,7 +204,7 @@
   }
   for (const auto& [name, members] : this->peers) {
     for (const auto& [host, peer] : members) {
-      if (this->MayOwn(peer, now)) {
+      if (this->CanOwnEndpoints(peer, now)) {
         candidates.push_back(host);
       }
     }
@@ -208,32 +212,33 @@
   return common::RendezvousFirst(endpoint.Value(), candidates);
 }
 
-std::vector<HostId> Membership::WatchersOf(const FailureDomainId& of,
+std::vector<HostId> Membership::WatchersOf(const FailureDomainId& target_domain,
                                            SteadyTime now) const {
-  std::vector<HostId> watchers =
-      common::RendezvousOrder("watch/" + of.Value(), this->LiveHosts(of, now));
-  watchers.resize(std::min(watchers.size(), kWatchers));
+  std::vector<HostId> watchers = common::RendezvousOrder(
+      "watch/" + target_domain.Value(), this->LiveHosts(target_domain, now));
+  watchers.resize(std::min(watchers.size(), kWatchersPerDomain));
   return watchers;
 }
 
-/// Null for this daemon itself.
+/// Returns the record of a daemon, adding it if necessary. Null for this daemon
+/// itself.
 Membership::Peer* Membership::FindOrAdd(const HostId& host,
-                                        const FailureDomainId& of,
+                                        const FailureDomainId& target_domain,
                                         SteadyTime now) {
   if (host == this->self) {
     return nullptr;
   }
   const auto known = this->domain_of.find(host);
-  if (known != this->domain_of.end() && known->second != of) {
-    // A host that was replaced in another domain under the same name.
+  if (known != this->domain_of.end() && known->second != target_domain) {
+    // The host was replaced by one of the same name in another domain.
     this->peers[known->second].erase(host);
     this->domain_targets.reset();
   }
-  this->domain_of[host] = of;
-  const auto [peer, added] = this->peers[of].try_emplace(host);
+  this->domain_of[host] = target_domain;
+  const auto [peer, added] = this->peers[target_domain].try_emplace(host);
   if (added) {
     this->domain_targets.reset();
-    peer->second.news = now;
+    peer->second.last_change = now;
   }
   return &peer->second;
 }
@@ -251,106 +256,109 @@
   if (peer == nullptr || !AcceptIncarnation(peer, report.incarnation, now)) {
     return;
   }
-  const SteadyTime as_of = now - report.age;
-  const bool newer = (!peer->heard || as_of > *peer->heard) &&
-                     (!peer->silent_since || as_of > *peer->silent_since);
+  const SteadyTime observed_at = now - report.age;
+  const bool newer = (!peer->last_heard || observed_at > *peer->last_heard) &&
+                     (!peer->silent_since || observed_at > *peer->silent_since);
   if (!newer) {
     return;
   }
-  if (report.silent && peer->heard_directly &&
-      now - *peer->heard_directly <= kHeartbeatTimeout) {
-    // The others learn from this daemon that the peer was heard.
-    peer->news = now;
+  if (report.silent && peer->last_heard_directly &&
+      now - *peer->last_heard_directly <= kHeartbeatTimeout) {
+    // Contradicts the report: this daemon heard the peer recently and tells the
+    // others.
+    peer->last_change = now;
     return;
   }
   if (report.silent != peer->silent_since.has_value() ||
       report.state != peer->state || report.silent) {
-    peer->news = now;
+    peer->last_change = now;
   }
   peer->state = report.state;
   if (report.silent) {
-    peer->silent_since = as_of;
+    peer->silent_since = observed_at;
   } else {
-    peer->heard = as_of;
+    peer->last_heard = observed_at;
     peer->silent_since.reset();
   }
 }
 
-/// False if the news is about an earlier run of the peer's process.
-bool Membership::AcceptIncarnation(Peer* peer, Incarnation heard,
+/// Returns false if the message concerns an earlier run of the peer's process.
+bool Membership::AcceptIncarnation(Peer* peer, Incarnation reported,
                                    SteadyTime now) {
-  if (heard < peer->incarnation) {
+  if (reported < peer->incarnation) {
     return false;
   }
-  if (heard > peer->incarnation) {
+  if (reported > peer->incarnation) {
     Peer started;
-    started.incarnation = heard;
+    started.incarnation = reported;
     started.listed = peer->listed;
     started.leaving = peer->leaving;
     started.expected_since = peer->expected_since;
-    started.news = now;
+    started.last_change = now;
     *peer = started;
   }
   return true;
 }
 
-/// Since when an expected peer was not heard. What was missed while this daemon
-/// was paused does not count.
-SteadyTime Membership::UnheardSince(const Peer& peer, SteadyTime now) const {
-  const bool paused = now - this->last_round > kLongestRound;
+/// Start of the current silence of an expected peer. Time during which this
+/// daemon was paused is not counted.
+SteadyTime Membership::SilenceStart(const Peer& peer, SteadyTime now) const {
+  const bool paused = now - this->last_round > kPauseThreshold;
   const SteadyTime listening = paused ? now : this->listening_since;
   const SteadyTime since = std::max(*peer.expected_since, listening);
-  return std::max(since, peer.heard.value_or(since));
+  return std::max(since, peer.last_heard.value_or(since));
 }
 
 bool Membership::IsReachable(const Peer& peer, SteadyTime now) const {
   if (peer.expected_since) {
     return !peer.silent_since &&
-           now - this->UnheardSince(peer, now) <= kHeartbeatTimeout;
+           now - this->SilenceStart(peer, now) <= kHeartbeatTimeout;
   }
-  return !peer.silent_since || now - *peer.silent_since > kSilencePeriod;
+  return !peer.silent_since || now - *peer.silent_since > kSilentReportExpiry;
 }
 
-bool Membership::MayOwn(const Peer& peer, SteadyTime now) const {
+bool Membership::CanOwnEndpoints(const Peer& peer, SteadyTime now) const {
   return peer.state == PeerState::kLive && !peer.leaving &&
          this->IsReachable(peer, now);
 }
 
-void Membership::Forget(SteadyTime now) {
+void Membership::RemoveExpiredPeers(SteadyTime now) {
   for (auto& [name, members] : this->peers) {
     std::erase_if(members, [this, now](const auto& entry) {
       const Peer& peer = entry.second;
-      const SteadyTime known = std::max(peer.heard.value_or(SteadyTime::min()),
-                                        peer.news.value_or(SteadyTime::min()));
-      const bool forgotten = !peer.listed && known + kForgetAfter < now;
-      if (forgotten) {
+      const SteadyTime known =
+          std::max(peer.last_heard.value_or(SteadyTime::min()),
+                   peer.last_change.value_or(SteadyTime::min()));
+      const bool expired = !peer.listed && known + kUnlistedPeerExpiry < now;
+      if (expired) {
         this->domain_of.erase(entry.first);
         this->domain_targets.reset();
       }
-      return forgotten;
+      return expired;
     });
   }
 }
 
-void Membership::FindSilent(SteadyTime now) {
+void Membership::DetectSilentPeers(SteadyTime now) {
   for (auto& [name, members] : this->peers) {
     for (auto& [host, peer] : members) {
       if (!peer.expected_since) {
         continue;
       }
-      const bool due =
-          !peer.silent_since || now - *peer.silent_since >= kSilenceRepeat;
-      if (due && now - this->UnheardSince(peer, now) > kHeartbeatTimeout) {
+      const bool due = !peer.silent_since ||
+                       now - *peer.silent_since >= kSilentReportInterval;
+      if (due && now - this->SilenceStart(peer, now) > kHeartbeatTimeout) {
         peer.silent_since = now;
-        peer.news = now;
+        peer.last_change = now;
       }
     }
   }
 }
 
-/// Own part of the pairs in a small domain. In a larger one the hosts form a
-/// ring in rendezvous order, and targets lie at distances that grow by a
-/// constant factor, which keeps the number of hops small.
+/// Heartbeat targets within the own domain. In a small domain these are the
+/// peers with which this daemon initiates the exchange. In a larger domain the
+/// hosts form a ring in rendezvous order, and the targets lie at distances that
+/// grow by a constant factor, which keeps the number of gossip hops small.
 std::vector<HostId> Membership::DomainTargets() const {
   const auto members = this->peers.find(this->domain);
   std::vector<HostId> targets;
@@ -390,8 +398,8 @@
   return targets;
 }
 
-/// Relays of the other domains, where this daemon is the relay of its own and
-/// its domain is the one that sends.
+/// Relays of those other domains with which this daemon, as the relay of its
+/// own domain, initiates the exchange.
 std::vector<HostId> Membership::RelayTargets(SteadyTime now) const {
   std::vector<HostId> targets;
   for (const auto& [other, members] : this->peers) {
@@ -408,22 +416,23 @@
   return targets;
 }
 
-/// Relay of a domain for heartbeats with another one: the first live daemon,
-/// or the first of all while none seems to live.
-std::optional<HostId> Membership::RelayOf(const FailureDomainId& of,
+/// The first live daemon in rendezvous order, or the first of all daemons while
+/// none seems live.
+std::optional<HostId> Membership::RelayOf(const FailureDomainId& target_domain,
                                           const FailureDomainId& other,
                                           SteadyTime now) const {
-  std::vector<HostId> candidates = this->LiveHosts(of, now);
-  const auto members = this->peers.find(of);
+  std::vector<HostId> candidates = this->LiveHosts(target_domain, now);
+  const auto members = this->peers.find(target_domain);
   if (candidates.empty() && members != this->peers.end()) {
     for (const auto& [host, peer] : members->second) {
       candidates.push_back(host);
     }
   }
-  if (candidates.empty() && of == this->domain) {
+  if (candidates.empty() && target_domain == this->domain) {
     candidates.push_back(this->self);
   }
-  return common::RendezvousFirst(PairKey(of, other), candidates);
+  return common::RendezvousFirst(RelayPairKey(target_domain, other),
+                                 candidates);
 }
 
 }  // namespace camphorferry::process
