--- a/Source/Core/Process/membership.h
+++ b/Source/Core/Process/membership.h
@@ -13,40 +13,39 @@
 
 namespace camphorferry::process {
 
-/// How often a daemon exchanges heartbeats with each of its targets.
 inline constexpr common::Duration kHeartbeatInterval =
     std::chrono::milliseconds(400);
 
-/// A peer that was not heard for this long is skipped.
+/// A peer that was not heard from for this long counts as silent.
 inline constexpr common::Duration kHeartbeatTimeout = std::chrono::seconds(1);
 
-/// Up to this number of peers in its failure domain a daemon exchanges
-/// heartbeats with all of them.
+/// Up to this number of peers in its failure domain, a daemon exchanges
+/// heartbeats with all of them (full mesh).
 inline constexpr std::size_t kMaxFullMeshPeers = 8;
 
-/// Number of peers that a daemon of a larger domain sends heartbeats to. As
+/// Number of peers to which a daemon of a larger domain sends heartbeats. As
 /// many send to it, so that it hears from as many peers as in a small domain.
 inline constexpr std::size_t kRingTargets = 4;
 
-/// Largest number of reports about others in one heartbeat.
+/// Maximum number of reports about other daemons in one heartbeat.
 inline constexpr std::size_t kMaxPeerReports = 4;
 
-/// What a daemon says about itself.
+/// State that a daemon reports about itself.
 enum class PeerState { kStarting, kLive, kDraining };
 
-/// What the sender of a heartbeat knows about another daemon.
+/// Report of a heartbeat's sender about another daemon.
 struct PeerReport {
   common::HostId host;
   Incarnation incarnation = 0;
   common::FailureDomainId domain;
   PeerState state = PeerState::kStarting;
-  /// True if the daemon does not answer.
+  /// True if the daemon does not respond.
   bool silent = false;
-  /// Time since the daemon was heard, or since it was found silent.
+  /// Time since the daemon was last heard from, or last found silent.
   common::Duration age = common::Duration::zero();
 };
 
-/// A heartbeat or the answer to one.
+/// A heartbeat or the response to one.
 struct PeerHeartbeat {
   common::HostId host;
   Incarnation incarnation = 0;
@@ -62,56 +61,60 @@
   bool leaving = false;
 };
 
-/// One daemon's view of which daemons live. The view may be wrong for a while
-/// without harm.
+/// Failure detector: one daemon's view of which daemons of the fleet are live.
+/// The view may be temporarily wrong without harm.
 ///
 /// In a failure domain with up to kMaxFullMeshPeers peers, every pair of
-/// daemons exchanges heartbeats, and one that was not heard for
-/// kHeartbeatTimeout is skipped. In a larger domain each daemon sends to
-/// kRingTargets others, and the other daemons count as live by the host list
-/// until one that sends to them reports them silent: refreshing each of 155
-/// daemons at all others every second would take more than the bytes that a
-/// daemon may use for control. Reports travel with heartbeats, with the age of
-/// what they say. One daemon of each domain exchanges heartbeats with one of
-/// each other domain.
+/// daemons exchanges heartbeats, and a peer that was not heard from for
+/// kHeartbeatTimeout counts as silent. In a larger domain each daemon sends
+/// heartbeats to kRingTargets others, and the remaining daemons count as live
+/// by the host list until a daemon that sends to them reports them as silent:
+/// refreshing each of 155 daemons at all others every second would exceed the
+/// bytes that a daemon may use for control traffic.
+///
+/// Heartbeats carry reports about other daemons, each with the age of the
+/// observation. One relay daemon of each domain exchanges heartbeats with one
+/// of each other domain.
 class Membership {
  public:
   Membership(common::HostId self, common::FailureDomainId domain,
              Incarnation incarnation, common::SteadyTime now);
 
-  /// State that this daemon is in.
+  /// Sets the state that this daemon reports about itself.
   void SetOwnState(PeerState state);
 
-  /// The platform's host list, which may lag.
+  /// Sets the platform's host list, which may lag behind.
   void SetHosts(const std::vector<ListedHost>& list, common::SteadyTime now);
 
-  /// A heartbeat, or the answer to one, has come.
+  /// Handles a received heartbeat or response to one.
   void OnHeartbeat(const PeerHeartbeat& heartbeat, common::SteadyTime now);
 
-  /// Starts a round of heartbeats: finds out who is silent and returns whom to
-  /// send to. To be called every kHeartbeatInterval.
+  /// Starts a heartbeat round: detects silent peers and returns the hosts to
+  /// send heartbeats to. To be called every kHeartbeatInterval.
   std::vector<common::HostId> StartHeartbeatRound(common::SteadyTime now);
 
-  /// What to say about others in a heartbeat to a daemon of a domain.
+  /// Reports about other daemons to include in a heartbeat to a daemon of the
+  /// given domain.
   std::vector<PeerReport> Reports(const common::FailureDomainId& receiver,
                                   common::SteadyTime now) const;
 
-  /// True if the daemon is not skipped and may own endpoints.
+  /// True if the daemon is live, not silent and not leaving, so that it may own
+  /// endpoints.
   bool IsLive(const common::HostId& host, common::SteadyTime now) const;
 
-  /// Daemons of a domain that are not skipped and may own endpoints.
+  /// Daemons of a domain for which IsLive holds.
   std::vector<common::HostId> LiveHosts(const common::FailureDomainId& domain,
                                         common::SteadyTime now) const;
 
-  /// Owner of an endpoint's connections: the first in rendezvous order among
-  /// the live daemons of the endpoint's domain, or of all domains if there is
-  /// none. Empty if no daemon is live.
+  /// Daemon that owns an endpoint's connections: the first in rendezvous order
+  /// among the live daemons of the endpoint's domain, or of all domains if its
+  /// own domain has none. Empty if no daemon is live.
   std::optional<common::HostId> OwnerOf(
       const common::EndpointId& endpoint,
       const common::FailureDomainId& endpoint_domain,
       common::SteadyTime now) const;
 
-  /// The daemons, two at most, that watch the store for a domain.
+  /// The daemons, two at most, that watch the store on behalf of a domain.
   std::vector<common::HostId> WatchersOf(const common::FailureDomainId& domain,
                                          common::SteadyTime now) const;
 
@@ -126,15 +129,16 @@
     PeerState state = PeerState::kLive;
     bool listed = false;
     bool leaving = false;
-    /// When it was heard last, directly or by someone whose report came here.
-    std::optional<common::SteadyTime> heard;
-    std::optional<common::SteadyTime> heard_directly;
-    /// When it was last found silent, here or by someone who reported it.
+    /// When it was last heard from, directly or according to a report.
+    std::optional<common::SteadyTime> last_heard;
+    std::optional<common::SteadyTime> last_heard_directly;
+    /// When it was last found silent, directly or according to a report.
     std::optional<common::SteadyTime> silent_since;
-    /// Since when this daemon expects to hear it directly.
+    /// Since when this daemon expects direct heartbeats from it; empty if it
+    /// does not.
     std::optional<common::SteadyTime> expected_since;
-    /// When this daemon last learned something that others may not know.
-    std::optional<common::SteadyTime> news;
+    /// When this daemon last learned something that others may not know yet.
+    std::optional<common::SteadyTime> last_change;
   };
 
   using Peers = std::map<common::HostId, Peer>;
@@ -146,25 +150,25 @@
   void OnReport(const PeerReport& report, common::SteadyTime now);
   static bool AcceptIncarnation(Peer* peer, Incarnation incarnation,
                                 common::SteadyTime now);
-  common::SteadyTime UnheardSince(const Peer& peer,
+  common::SteadyTime SilenceStart(const Peer& peer,
                                   common::SteadyTime now) const;
   bool IsReachable(const Peer& peer, common::SteadyTime now) const;
-  bool MayOwn(const Peer& peer, common::SteadyTime now) const;
-  void Forget(common::SteadyTime now);
-  void FindSilent(common::SteadyTime now);
+  bool CanOwnEndpoints(const Peer& peer, common::SteadyTime now) const;
+  void RemoveExpiredPeers(common::SteadyTime now);
+  void DetectSilentPeers(common::SteadyTime now);
   std::vector<common::HostId> DomainTargets() const;
   std::vector<common::HostId> RelayTargets(common::SteadyTime now) const;
   common::HostId self;
   common::FailureDomainId domain;
   Incarnation incarnation;
   PeerState own_state = PeerState::kStarting;
-  /// Other daemons by domain.
   std::map<common::FailureDomainId, Peers> peers;
   std::map<common::HostId, common::FailureDomainId> domain_of;
-  /// Result of DomainTargets while the known daemons stay the same.
+  /// Cached result of DomainTargets; reset when the set of known daemons
+  /// changes.
   std::optional<std::vector<common::HostId>> domain_targets;
   common::SteadyTime last_round;
-  /// No peer counts as silent because of the time before this.
+  /// Silence before this time is not counted against any peer.
   common::SteadyTime listening_since;
 };
 
--- a/Source/Core/Process/membership_task.cc
+++ b/Source/Core/Process/membership_task.cc
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr std::chrono::seconds kHostListInterval(1);
-/// Daemons that don't watch the store read the host list in each tenth
-/// interval only, since the store's rate of reads grows more slowly than the
+/// Daemons that do not watch the store read the host list only in every tenth
+/// interval, because the store's rate of reads must grow more slowly than the
 /// fleet.
 constexpr int kIntervalsBetweenReads = 10;
-/// Reads after the start that every daemon makes.
-constexpr int kFirstReads = 5;
+/// Number of intervals after startup in which every daemon reads the host list.
+constexpr int kStartupReads = 5;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
                                connection::ObjectStore* store,
                                GrpcPeerClient* peers, Membership* membership,
                                const Settings& settings,
-                               std::uint64_t incarnation, Hooks hooks)
+                               std::uint64_t incarnation, Callbacks callbacks)
     : loop(loop),
       store(store),
       peers(peers),
@@ -29,48 +29,48 @@
       self(settings.host),
       domain(settings.domain),
       incarnation(incarnation),
-      configured(settings.peer_hosts),
-      hooks(std::move(hooks)) {}
+      configured_peers(settings.peer_hosts),
+      callbacks(std::move(callbacks)) {}
 
 void MembershipTask::Start() {
   this->ApplyHosts({});
-  this->round =
-      this->loop->Every(kHeartbeatInterval, [this] { this->Round(); });
-  this->host_list =
+  this->heartbeat_timer =
+      this->loop->Every(kHeartbeatInterval, [this] { this->RunRound(); });
+  this->host_list_timer =
       this->loop->Every(kHostListInterval, [this] { this->ReadHosts(); });
-  this->Round();
+  this->RunRound();
   this->ReadHosts();
 }
 
 void MembershipTask::SetState(PeerState state) {
   this->state = state;
   this->membership->SetOwnState(state);
-  this->Round();
+  this->RunRound();
 }
 
 HeartbeatExchange MembershipTask::OnHeartbeat(
     const HeartbeatExchange& exchange) {
-  this->Learn(exchange);
+  this->ProcessExchange(exchange);
   return this->OwnExchange(exchange.heartbeat.domain);
 }
 
-void MembershipTask::Round() {
+void MembershipTask::RunRound() {
   for (const common::HostId& target :
        this->membership->StartHeartbeatRound(common::SteadyNow())) {
-    const auto target_domain = this->domains.find(target);
-    if (target_domain == this->domains.end()) continue;
+    const auto target_domain = this->peer_domains.find(target);
+    if (target_domain == this->peer_domains.end()) continue;
     this->peers->Heartbeat(
         target, this->OwnExchange(target_domain->second),
         [this](const std::optional<HeartbeatExchange>& answer) {
-          if (answer) this->Learn(*answer);
+          if (answer) this->ProcessExchange(*answer);
         });
   }
-  this->hooks.on_round();
+  this->callbacks.on_round();
 }
 
 void MembershipTask::ReadHosts() {
   const int interval = this->host_list_intervals++;
-  const bool due = this->watching || interval < kFirstReads ||
+  const bool due = this->watching || interval < kStartupReads ||
                    interval % kIntervalsBetweenReads == 0;
   if (this->reading_hosts || !due) return;
   this->reading_hosts = true;
@@ -82,10 +82,10 @@
   });
 }
 
-void MembershipTask::Learn(const HeartbeatExchange& exchange) {
+void MembershipTask::ProcessExchange(const HeartbeatExchange& exchange) {
   this->membership->OnHeartbeat(exchange.heartbeat, common::SteadyNow());
-  this->hooks.on_version(exchange.heartbeat.host,
-                         exchange.configuration_version);
+  this->callbacks.on_version(exchange.heartbeat.host,
+                             exchange.configuration_version);
 }
 
 HeartbeatExchange MembershipTask::OwnExchange(
@@ -97,7 +97,7 @@
   exchange.heartbeat.state = this->state;
   exchange.heartbeat.reports =
       this->membership->Reports(receiver, common::SteadyNow());
-  exchange.configuration_version = this->hooks.configuration_version();
+  exchange.configuration_version = this->callbacks.configuration_version();
   return exchange;
 }
 
@@ -105,7 +105,7 @@
     const std::vector<connection::HostListEntry>& listed) {
   std::map<common::HostId, ListedHost> hosts;
   hosts[this->self] = {this->self, this->domain, false};
-  for (const PeerSetting& peer : this->configured) {
+  for (const PeerSetting& peer : this->configured_peers) {
     hosts[peer.id] = {peer.id, peer.domain, false};
     this->peers->SetAddress(peer.id, connection::ToString(peer.address));
   }
@@ -115,13 +115,13 @@
     if (entry.host == this->self) continue;
     this->peers->SetAddress(entry.host, entry.address);
   }
-  std::vector<ListedHost> all;
-  this->domains.clear();
+  std::vector<ListedHost> host_list;
+  this->peer_domains.clear();
   for (const auto& [id, host] : hosts) {
-    all.push_back(host);
-    if (id != this->self) this->domains[id] = host.domain;
+    host_list.push_back(host);
+    if (id != this->self) this->peer_domains[id] = host.domain;
   }
-  this->membership->SetHosts(all, common::SteadyNow());
+  this->membership->SetHosts(host_list, common::SteadyNow());
 }
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/membership_task.h
+++ b/Source/Core/Process/membership_task.h
@@ -14,11 +14,11 @@
 
 namespace camphorferry::process {
 
-/// Exchanges heartbeats and reads the platform's host list.
+/// Runs the heartbeat rounds of Membership and reads the platform's host list.
 class MembershipTask {
  public:
-  /// What the rest of the daemon supplies and wants to hear.
-  struct Hooks {
+  /// Callbacks to the rest of the daemon.
+  struct Callbacks {
     std::function<std::uint64_t()> configuration_version;
     /// A peer reported its configuration version.
     std::function<void(const common::HostId&, std::uint64_t)> on_version;
@@ -29,29 +29,31 @@
   MembershipTask(connection::EventLoop* loop, connection::ObjectStore* store,
                  GrpcPeerClient* peers, Membership* membership,
                  const Settings& settings, std::uint64_t incarnation,
-                 Hooks hooks);
+                 Callbacks callbacks);
 
-  /// Starts the rounds.
+  /// Starts the heartbeat rounds.
   void Start();
 
-  /// Sets the state that this daemon tells its peers, and tells them at once.
+  /// Sets the state that this daemon reports to its peers, and sends it at
+  /// once.
   void SetState(PeerState state);
 
   /// Sets whether this daemon watches the store for its domain.
   void SetWatching(bool watching) { this->watching = watching; }
 
-  /// Answers a peer's heartbeat.
+  /// Handles a peer's heartbeat and returns the response.
   HeartbeatExchange OnHeartbeat(const HeartbeatExchange& exchange);
 
-  /// Peers known by settings or host list, with their domains.
+  /// Peers known from the settings or the host list, with their failure
+  /// domains.
   const std::map<common::HostId, common::FailureDomainId>& KnownPeers() const {
-    return this->domains;
+    return this->peer_domains;
   }
 
  private:
-  void Round();
+  void RunRound();
   void ReadHosts();
-  void Learn(const HeartbeatExchange& exchange);
+  void ProcessExchange(const HeartbeatExchange& exchange);
   HeartbeatExchange OwnExchange(const common::FailureDomainId& receiver) const;
   void ApplyHosts(const std::vector<connection::HostListEntry>& listed);
 
@@ -62,15 +64,15 @@
   common::HostId self;
   common::FailureDomainId domain;
   std::uint64_t incarnation;
-  std::vector<PeerSetting> configured;
-  std::map<common::HostId, common::FailureDomainId> domains;
+  std::vector<PeerSetting> configured_peers;
+  std::map<common::HostId, common::FailureDomainId> peer_domains;
   PeerState state = PeerState::kStarting;
-  Hooks hooks;
+  Callbacks callbacks;
   bool watching = false;
   bool reading_hosts = false;
   int host_list_intervals = 0;
-  std::unique_ptr<connection::Timer> round;
-  std::unique_ptr<connection::Timer> host_list;
+  std::unique_ptr<connection::Timer> heartbeat_timer;
+  std::unique_ptr<connection::Timer> host_list_timer;
 };
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/operator_http_server.cc
+++ b/Source/Core/Process/operator_http_server.cc
@@ -34,19 +34,20 @@
   responder->Send(response);
 }
 
-/// The operator's request was not understood.
+/// The operator's request is malformed or its declarations are invalid.
 class BadOperatorRequestError : public common::Error {
  public:
   explicit BadOperatorRequestError(const std::string& detail) : Error(detail) {}
 };
 
-/// Declarations and, for a confirmation, the digest of the plan.
+/// Declarations and, to apply a plan, the digest of the plan.
 struct OperatorRequest {
   version::Configuration declared;
   std::string digest;
 };
 
-/// Throws the first issue that keeps the declarations from being put in force.
+/// Throws BadOperatorRequestError with the first issue if the declarations are
+/// invalid.
 void RequireValid(const version::Configuration& declared) {
   const std::vector<version::ConfigurationIssue> issues =
       version::CheckConfiguration(declared);
@@ -84,12 +85,12 @@
                                        connection::ObjectStore* store,
                                        ConfigurationTask* configuration,
                                        Counters* counters, EventLog* events,
-                                       OperatorCallbacks hooks)
+                                       OperatorCallbacks callbacks)
     : store(store),
       configuration(configuration),
       counters(counters),
       events(events),
-      hooks(std::move(hooks)),
+      callbacks(std::move(callbacks)),
       server(loop, address, connection::HttpServerLimits{},
              [this](const connection::HttpRequest& request,
                     const Responder& responder) {
@@ -122,11 +123,11 @@
 bool OperatorHttpServer::OnGet(const connection::HttpRequest& request,
                                const Responder& responder) {
   if (request.path == "/operator/v1/status") {
-    SendJson(responder, 200, this->hooks.status());
+    SendJson(responder, 200, this->callbacks.status());
     return true;
   }
   if (request.path == "/operator/v1/counters") {
-    this->hooks.refresh_counters();
+    this->callbacks.refresh_counters();
     if (request.Query("format") == "json") {
       SendJson(responder, 200, json::parse(this->counters->ToJson()));
     } else {
@@ -174,7 +175,8 @@
 
 void OperatorHttpServer::Apply(const version::Configuration& declared,
                                const std::string& digest,
-                               const Responder& responder, int attempts_left) {
+                               const Responder& responder,
+                               int remaining_attempts) {
   this->ReadCurrent(responder, [=, this](
                                    connection::ObjectVersion store_version,
                                    const version::Configuration& current) {
@@ -186,28 +188,29 @@
       return;
     }
     const auto* stale = std::get_if<version::StalePlan>(&decision);
-    if (stale != nullptr || attempts_left == 0) {
+    if (stale != nullptr || remaining_attempts == 0) {
       SendJson(responder, kConflict,
                {{"reason", "stale"}, {"base_version", current.version}});
       return;
     }
-    // The conflicting write may be this very plan, confirmed at another daemon,
-    // so the decision is taken again on what the store holds then.
+    // The conflicting write may be this very plan, applied through another
+    // daemon, so the decision is repeated with the new content of the store.
     this->Write(store_version,
                 std::move(std::get<version::WriteConfiguration>(decision).next),
                 responder, [=, this] {
-                  this->Apply(declared, digest, responder, attempts_left - 1);
+                  this->Apply(declared, digest, responder,
+                              remaining_attempts - 1);
                 });
   });
 }
 
 void OperatorHttpServer::OnDrain(const Responder& responder) {
   SendJson(responder, 200, {{"result", "draining"}});
-  this->hooks.drain();
+  this->callbacks.drain();
 }
 
 void OperatorHttpServer::ReadCurrent(const Responder& responder,
-                                     WithCurrent then) {
+                                     CurrentCallback then) {
   this->store->Read(
       kConfigurationPath, [responder, then = std::move(then)](
                               const connection::ReadResult& result) {
@@ -254,7 +257,8 @@
           on_conflict();
           return;
         }
-        // The change may have taken effect; repeating the confirmation tells.
+        // The write may have taken effect; applying the plan again shows
+        // whether it did.
         SendJson(responder, kUnavailable,
                  {{"reason", "store_unavailable"}, {"outcome", "unknown"}});
       });
--- a/Source/Core/Process/operator_http_server.h
+++ b/Source/Core/Process/operator_http_server.h
@@ -12,30 +12,31 @@
 
 namespace camphorferry::process {
 
-/// What operators may ask of a daemon besides plans.
+/// Callbacks to the daemon for operator requests.
 struct OperatorCallbacks {
-  /// State of the daemon for GET /operator/v1/status.
+  /// Returns the daemon's state for GET /operator/v1/status.
   std::function<nlohmann::json()> status;
   /// Starts a graceful shutdown.
   std::function<void()> drain;
-  /// Called before the counters are read, to set those that report a state.
+  /// Called before the counters are read, to update the gauges.
   std::function<void()> refresh_counters;
 };
 
-/// Serves the operators' listener: plans, confirmations and reports.
+/// HTTP server for operators: plans and their application, drain, status,
+/// counters and events.
 class OperatorHttpServer {
  public:
   OperatorHttpServer(connection::EventLoop* loop,
                      const connection::SocketAddress& address,
                      connection::ObjectStore* store,
                      ConfigurationTask* configuration, Counters* counters,
-                     EventLog* events, OperatorCallbacks hooks);
+                     EventLog* events, OperatorCallbacks callbacks);
 
   std::uint16_t Port() const { return this->server.Port(); }
 
  private:
   using Responder = std::shared_ptr<connection::HttpResponder>;
-  using WithCurrent =
+  using CurrentCallback =
       std::function<void(connection::ObjectVersion store_version,
                          const version::Configuration& current)>;
 
@@ -48,11 +49,11 @@
   void OnApply(const connection::HttpRequest& request,
                const Responder& responder);
   void Apply(const version::Configuration& declared, const std::string& digest,
-             const Responder& responder, int attempts_left);
+             const Responder& responder, int remaining_attempts);
   void OnDrain(const Responder& responder);
-  /// Reads the configuration from the store, since the copy in force here may
-  /// be older.
-  void ReadCurrent(const Responder& responder, WithCurrent then);
+  /// Reads the configuration from the store, since this daemon's copy may be
+  /// older.
+  void ReadCurrent(const Responder& responder, CurrentCallback then);
   void Write(connection::ObjectVersion store_version,
              version::Configuration next, const Responder& responder,
              std::function<void()> on_conflict);
@@ -61,7 +62,7 @@
   ConfigurationTask* configuration;
   Counters* counters;
   EventLog* events;
-  OperatorCallbacks hooks;
+  OperatorCallbacks callbacks;
   connection::HttpServer server;
 };
 
--- a/Source/Core/Process/peer_client.h
+++ b/Source/Core/Process/peer_client.h
@@ -12,34 +12,35 @@
 
 namespace camphorferry::process {
 
-/// What daemons exchange regularly.
+/// A heartbeat with the sender's configuration version.
 struct HeartbeatExchange {
   PeerHeartbeat heartbeat;
   std::uint64_t configuration_version = 0;
 };
 
-/// A configuration document on its way between daemons.
+/// A configuration document sent between daemons.
 struct PeerConfiguration {
   std::uint64_t version = 0;
-  /// JSON text; empty if the receiver is up to date.
+  /// JSON text; empty if the receiver is already up to date.
   std::string document;
 };
 
-/// Part of a workspace's rate lent for a limited time, in millitokens.
+/// Part of a workspace's rate lent for a limited time, in millitokens (per
+/// second).
 struct PeerRateLoan {
   std::uint64_t rate = 0;
   std::uint64_t capacity = 0;
   std::uint64_t level = 0;
-  common::Duration length = common::Duration::zero();
+  common::Duration duration = common::Duration::zero();
 };
 
-/// Port to the other daemons. Callbacks are called once, from the event loop;
-/// an empty optional means that no answer came.
+/// RPC client for calls to the other daemons. Callbacks are called once, from
+/// the event loop; an empty optional means that no response arrived.
 class PeerClient {
  public:
   virtual ~PeerClient() = default;
 
-  /// Runs a statement at the owner of the endpoint's connections.
+  /// Executes a statement at the owner of the endpoint's connections.
   virtual void Execute(
       const common::HostId& peer, const connection::StatementCall& call,
       common::SteadyTime now,
@@ -67,7 +68,8 @@
       std::function<void(std::optional<PeerRateLoan>)> done) = 0;
 };
 
-/// Receiver of the calls that other daemons make. Called from the event loop.
+/// Handles the calls of other daemons. Its functions are called from the event
+/// loop.
 class PeerHandler {
  public:
   virtual ~PeerHandler() = default;
--- a/Source/Core/Process/peer_codec.h
+++ b/Source/Core/Process/peer_codec.h
@@ -6,9 +6,9 @@
 
 namespace camphorferry::process {
 
-/// Conversions between the peer protocol's messages and the types of the peer
-/// port. Deadlines travel as time left, since steady clocks of two hosts can't
-/// be compared.
+/// Conversions between the messages of the peer protocol and the types of
+/// PeerClient. Deadlines are sent as remaining time, since the steady clocks of
+/// two hosts cannot be compared.
 peer::v1::ExecuteRequest ToMessage(const connection::StatementCall& call,
                                    common::SteadyTime now);
 connection::StatementCall FromMessage(const peer::v1::ExecuteRequest& message,
--- a/Source/Core/Process/primary_directory.cc
+++ b/Source/Core/Process/primary_directory.cc
@@ -2,8 +2,8 @@
 
 namespace camphorferry::process {
 
-bool PrimaryDirectory::Learn(const common::ServiceId& service,
-                             const connection::PrimaryHint& hint) {
+bool PrimaryDirectory::Update(const common::ServiceId& service,
+                              const connection::PrimaryHint& hint) {
   if (hint.endpoint.Empty()) return false;
   connection::PrimaryHint& known = this->primaries[service];
   const bool same_term = hint.term == known.term;
@@ -14,11 +14,11 @@
   return true;
 }
 
-void PrimaryDirectory::Forget(const common::ServiceId& service,
-                              const connection::PrimaryHint& hint) {
+void PrimaryDirectory::Invalidate(const common::ServiceId& service,
+                                  const connection::PrimaryHint& hint) {
   const auto found = this->primaries.find(service);
   if (found == this->primaries.end() || found->second.term > hint.term) return;
-  // The term stays, so that an older hint can't come back.
+  // The term is kept, so that an older hint is not accepted again.
   found->second.endpoint = common::EndpointId();
 }
 
--- a/Source/Core/Process/primary_directory.h
+++ b/Source/Core/Process/primary_directory.h
@@ -7,21 +7,21 @@
 
 namespace camphorferry::process {
 
-/// The primaries that this daemon believes in. It is soft state: an outdated
-/// entry costs a retry, since the databases check the term themselves.
+/// Primary of each service as last known to this daemon. An outdated entry
+/// costs a retry, since the databases check the term themselves.
 class PrimaryDirectory {
  public:
-  /// Takes a hint; the one with the highest term is kept. True if the known
-  /// primary changed.
-  bool Learn(const common::ServiceId& service,
-             const connection::PrimaryHint& hint);
-
-  /// Drops a hint that led to an endpoint that did not answer, so that the
-  /// next request asks another endpoint's owner.
-  void Forget(const common::ServiceId& service,
+  /// Updates a service's primary; the hint with the highest term wins. Returns
+  /// true if the known primary changed.
+  bool Update(const common::ServiceId& service,
               const connection::PrimaryHint& hint);
 
-  /// The known primary; its endpoint is empty if there is none.
+  /// Removes a hint that led to an unresponsive endpoint, so that the next
+  /// request asks another endpoint's owner.
+  void Invalidate(const common::ServiceId& service,
+                  const connection::PrimaryHint& hint);
+
+  /// The known primary; its endpoint is empty if none is known.
   connection::PrimaryHint Find(const common::ServiceId& service) const;
 
  private:
--- a/Source/Core/Process/process.h
+++ b/Source/Core/Process/process.h
@@ -1,7 +1,7 @@
 #ifndef CAMPHORFERRY_PROCESS_PROCESS_H_
 #define CAMPHORFERRY_PROCESS_PROCESS_H_
 
-/// Public header of the Process library: what lives for the whole process.
+/// Public header of the Process library: the daemon process and its components.
 
 #include "Process/acknowledgement_task.h"
 #include "Process/acknowledgement_tracker.h"
--- a/Source/Core/Process/rate_limit_task.cc
+++ b/Source/Core/Process/rate_limit_task.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval(100);
-/// Time to read the host list twice: a daemon that takes itself for the only
-/// one of its domain would take all slots, and giving them back takes minutes.
-constexpr std::chrono::milliseconds kTakeDelay(2500);
+/// Covers two reads of the host list. A daemon that knows only itself in its
+/// domain would acquire all slots, and giving them back takes minutes.
+constexpr std::chrono::milliseconds kAcquireDelay(2500);
 
 std::uint32_t TotalSlots(const version::Configuration& configuration) {
   std::uint32_t total = 0;
@@ -20,8 +20,9 @@
   return total;
 }
 
-/// Numbers of the domain's slots: domains are numbered through in their order.
-RateSlotLeaseManager::SlotRange RangeOf(
+/// Slot numbers of a domain. The slots of all domains are numbered
+/// consecutively in the order of the domains.
+RateSlotLeaseManager::SlotRange SlotRangeOf(
     const version::Configuration& configuration,
     const common::FailureDomainId& domain) {
   RateSlotLeaseManager::SlotRange range;
@@ -50,7 +51,7 @@
       host(std::move(host)),
       incarnation(incarnation),
       domain(std::move(domain)),
-      take_from(common::SteadyNow() + kTakeDelay) {
+      acquire_at(common::SteadyNow() + kAcquireDelay) {
   this->tick = loop->Every(kTickInterval, [this] { this->OnTick(); });
 }
 
@@ -59,38 +60,39 @@
   this->configuration = std::move(configuration);
   this->total_slots = TotalSlots(*this->configuration);
   const RateSlotLeaseManager::SlotRange wanted =
-      RangeOf(*this->configuration, this->domain);
+      SlotRangeOf(*this->configuration, this->domain);
   const bool same_range =
       wanted.first == this->range.first && wanted.count == this->range.count;
-  if (this->lease == nullptr || !same_range) {
-    // Slot numbers changed, so the leases start again under the new numbers.
+  if (this->leases == nullptr || !same_range) {
+    // The slot numbers changed, so new leases are acquired under the new
+    // numbers.
     this->range = wanted;
-    this->lease = std::make_unique<RateSlotLeaseManager>(
+    this->leases = std::make_unique<RateSlotLeaseManager>(
         this->host, this->incarnation, this->range);
-    this->lease->SetHosts(this->domain_hosts);
-    this->shares.clear();
+    this->leases->SetHosts(this->domain_hosts);
+    this->limiters.clear();
   }
-  std::erase_if(this->shares, [this](const auto& entry) {
+  std::erase_if(this->limiters, [this](const auto& entry) {
     return !this->configuration->workspaces.contains(entry.first);
   });
   for (const auto& [id, workspace] : this->configuration->workspaces) {
     const RateLimits limits{workspace.rate, workspace.burst, this->total_slots};
-    std::unique_ptr<LocalRateLimiter>& share = this->shares[id];
-    if (share != nullptr) {
-      share->SetLimits(limits, common::SteadyNow());
+    std::unique_ptr<LocalRateLimiter>& limiter = this->limiters[id];
+    if (limiter != nullptr) {
+      limiter->SetLimits(limits, common::SteadyNow());
       continue;
     }
-    share = std::make_unique<LocalRateLimiter>(limits, common::SteadyNow());
+    limiter = std::make_unique<LocalRateLimiter>(limits, common::SteadyNow());
     for (const auto& [slot, end] :
-         this->lease->HeldSlots(common::SteadyNow())) {
-      share->AddSlot(slot, end, common::SteadyNow());
+         this->leases->HeldSlots(common::SteadyNow())) {
+      limiter->AddSlot(slot, end, common::SteadyNow());
     }
   }
 }
 
 void RateLimitTask::SetDomainHosts(const std::set<common::HostId>& hosts) {
   this->domain_hosts = hosts;
-  if (this->lease != nullptr) this->lease->SetHosts(hosts);
+  if (this->leases != nullptr) this->leases->SetHosts(hosts);
 }
 
 void RateLimitTask::SetLenders(std::vector<common::HostId> lenders) {
@@ -99,46 +101,47 @@
 
 Admission RateLimitTask::Admit(const common::WorkspaceId& workspace,
                                Attempt attempt) {
-  LocalRateLimiter* share = this->ShareOf(workspace);
-  if (share == nullptr) return Refused{std::chrono::seconds(1)};
-  const Admission admission = share->Admit(common::SteadyNow(), attempt);
-  this->BorrowIfNeeded(workspace, share);
+  LocalRateLimiter* limiter = this->LimiterOf(workspace);
+  if (limiter == nullptr) return Refused{std::chrono::seconds(1)};
+  const Admission admission = limiter->Admit(common::SteadyNow(), attempt);
+  this->BorrowIfNeeded(workspace, limiter);
   return admission;
 }
 
 PeerRateLoan RateLimitTask::Lend(const common::WorkspaceId& workspace,
                                  Millitokens wanted) {
-  LocalRateLimiter* share = this->ShareOf(workspace);
-  if (share == nullptr) return {};
-  const RateLoan loan = share->Lend(wanted, common::SteadyNow());
+  LocalRateLimiter* limiter = this->LimiterOf(workspace);
+  if (limiter == nullptr) return {};
+  const RateLoan loan = limiter->Lend(wanted, common::SteadyNow());
   if (loan.Empty()) return {};
   this->counters->Add("rate_loans_given");
   return {static_cast<std::uint64_t>(loan.rate),
           static_cast<std::uint64_t>(loan.capacity),
-          static_cast<std::uint64_t>(loan.level), loan.length};
+          static_cast<std::uint64_t>(loan.level), loan.duration};
 }
 
 void RateLimitTask::Drain(common::Duration limit, std::function<void()> done) {
-  if (this->lease == nullptr) {
+  if (this->leases == nullptr) {
     done();
     return;
   }
   this->drain_done = std::move(done);
-  this->drain_limit = this->loop->After(limit, [this] { this->FinishDrain(); });
-  this->Perform(this->lease->Drain(common::SteadyNow()));
-  if (this->lease->Drained()) this->FinishDrain();
+  this->drain_timeout =
+      this->loop->After(limit, [this] { this->FinishDrain(); });
+  this->Perform(this->leases->Drain(common::SteadyNow()));
+  if (this->leases->Drained()) this->FinishDrain();
 }
 
 std::size_t RateLimitTask::HeldSlots() const {
-  return this->lease == nullptr
+  return this->leases == nullptr
              ? 0
-             : this->lease->HeldSlots(common::SteadyNow()).size();
+             : this->leases->HeldSlots(common::SteadyNow()).size();
 }
 
 void RateLimitTask::OnTick() {
-  if (this->lease == nullptr || common::SteadyNow() < this->take_from) return;
-  this->Perform(this->lease->Tick(common::SteadyNow()));
-  if (this->drain_done && this->lease->Drained()) this->FinishDrain();
+  if (this->leases == nullptr || common::SteadyNow() < this->acquire_at) return;
+  this->Perform(this->leases->Tick(common::SteadyNow()));
+  if (this->drain_done && this->leases->Drained()) this->FinishDrain();
 }
 
 void RateLimitTask::Perform(const SlotActions& actions) {
@@ -151,16 +154,16 @@
   const common::SteadyTime sent = common::SteadyNow();
   this->store->Read(
       "rates/" + this->domain.Value(),
-      [this, sent,
-       asking = this->lease.get()](const connection::ReadResult& result) {
-        // The lease was replaced while the call was on its way.
-        if (asking != this->lease.get()) return;
+      [this, sent, requested_by = this->leases.get()](
+          const connection::ReadResult& result) {
+        // The lease manager was replaced while the call was in progress.
+        if (requested_by != this->leases.get()) return;
         const auto* object = std::get_if<connection::StoredObject>(&result);
         const SlotActions actions =
             object == nullptr
-                ? this->lease->OnReadFailed(common::SteadyNow())
-                : this->lease->OnRead(object->version, object->value, sent,
-                                      common::SteadyNow());
+                ? this->leases->OnReadFailed(common::SteadyNow())
+                : this->leases->OnRead(object->version, object->value, sent,
+                                       common::SteadyNow());
         const bool updates =
             std::any_of(actions.begin(), actions.end(), [](const auto& action) {
               return std::holds_alternative<UpdateSlots>(action);
@@ -173,21 +176,21 @@
 void RateLimitTask::Perform(const UpdateSlots& action) {
   this->store->Write(
       "rates/" + this->domain.Value(), action.if_version, action.content,
-      [this,
-       asking = this->lease.get()](const connection::WriteResult& result) {
-        if (asking != this->lease.get()) return;
+      [this, requested_by =
+                 this->leases.get()](const connection::WriteResult& result) {
+        if (requested_by != this->leases.get()) return;
         this->started = true;
         this->Perform(std::visit(
             common::Overloaded{
                 [this](const connection::ObjectWritten& written) {
-                  return this->lease->OnUpdated(written.version,
-                                                common::SteadyNow());
+                  return this->leases->OnUpdated(written.version,
+                                                 common::SteadyNow());
                 },
                 [this](const connection::ObjectConflict& /*conflict*/) {
-                  return this->lease->OnUpdateConflicted(common::SteadyNow());
+                  return this->leases->OnUpdateConflicted(common::SteadyNow());
                 },
                 [this](const connection::StoreNoAnswer& /*none*/) {
-                  return this->lease->OnUpdateAnswerLost(common::SteadyNow());
+                  return this->leases->OnUpdateAnswerLost(common::SteadyNow());
                 }},
             result));
       });
@@ -196,65 +199,67 @@
 void RateLimitTask::Perform(const UseSlot& action) {
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "rate_slot_taken", {{"slot", action.slot}});
-  for (const auto& [id, share] : this->shares) {
-    share->AddSlot(action.slot, action.lease_end, common::SteadyNow());
+  for (const auto& [id, limiter] : this->limiters) {
+    limiter->AddSlot(action.slot, action.lease_end, common::SteadyNow());
   }
 }
 
 void RateLimitTask::Perform(const ExtendSlot& action) {
-  for (const auto& [id, share] : this->shares) {
-    share->RenewSlot(action.slot, action.lease_end, common::SteadyNow());
+  for (const auto& [id, limiter] : this->limiters) {
+    limiter->RenewSlot(action.slot, action.lease_end, common::SteadyNow());
   }
 }
 
 void RateLimitTask::Perform(const StopSlot& action) {
   this->events->Record(common::WallNow(), common::Subsystem::kProcess,
                        "rate_slot_stopped", {{"slot", action.slot}});
-  for (const auto& [id, share] : this->shares) {
-    share->RemoveSlot(action.slot, common::SteadyNow());
+  for (const auto& [id, limiter] : this->limiters) {
+    limiter->RemoveSlot(action.slot, common::SteadyNow());
   }
 }
 
-LocalRateLimiter* RateLimitTask::ShareOf(const common::WorkspaceId& workspace) {
-  const auto found = this->shares.find(workspace);
-  return found == this->shares.end() ? nullptr : found->second.get();
+LocalRateLimiter* RateLimitTask::LimiterOf(
+    const common::WorkspaceId& workspace) {
+  const auto found = this->limiters.find(workspace);
+  return found == this->limiters.end() ? nullptr : found->second.get();
 }
 
 void RateLimitTask::BorrowIfNeeded(const common::WorkspaceId& workspace,
-                                   LocalRateLimiter* share) {
-  const common::SteadyTime asked_at = common::SteadyNow();
-  LenderSelector& choice = this->lender_choices[workspace];
+                                   LocalRateLimiter* limiter) {
+  const common::SteadyTime requested_at = common::SteadyNow();
+  LenderSelector& selector = this->lender_selectors[workspace];
   if (this->lenders.empty()) return;
   const std::optional<BorrowRequest> wanted =
-      share->NextBorrowRequest(asked_at);
+      limiter->NextBorrowRequest(requested_at);
   if (!wanted) return;
   const std::optional<common::HostId> lender =
-      choice.Next(this->lenders, asked_at);
+      selector.Select(this->lenders, requested_at);
   if (!lender) return;
   this->counters->Add("rate_loans_asked");
   this->peers->BorrowRate(
       *lender, workspace, static_cast<std::uint64_t>(wanted->wanted),
-      [this, workspace, asked_at,
-       lender = *lender](const std::optional<PeerRateLoan>& answer) {
-        if (answer) this->OnLoan(workspace, asked_at, lender, *answer);
+      [this, workspace, requested_at,
+       lender = *lender](const std::optional<PeerRateLoan>& reply) {
+        if (reply) this->OnLoan(workspace, requested_at, lender, *reply);
       });
 }
 
 void RateLimitTask::OnLoan(const common::WorkspaceId& workspace,
-                           common::SteadyTime asked_at,
+                           common::SteadyTime requested_at,
                            const common::HostId& lender,
-                           const PeerRateLoan& answer) {
-  const RateLoan loan{static_cast<Millitokens>(answer.rate),
-                      static_cast<Millitokens>(answer.capacity),
-                      static_cast<Millitokens>(answer.level), answer.length};
-  this->lender_choices[workspace].OnAnswer(lender, loan, common::SteadyNow());
-  LocalRateLimiter* borrower = this->ShareOf(workspace);
+                           const PeerRateLoan& reply) {
+  const RateLoan loan{static_cast<Millitokens>(reply.rate),
+                      static_cast<Millitokens>(reply.capacity),
+                      static_cast<Millitokens>(reply.level), reply.duration};
+  this->lender_selectors[workspace].OnLoanReply(lender, loan,
+                                                common::SteadyNow());
+  LocalRateLimiter* borrower = this->LimiterOf(workspace);
   if (borrower == nullptr) return;
-  borrower->AcceptLoan(asked_at, loan, common::SteadyNow());
+  borrower->AcceptLoan(requested_at, loan, common::SteadyNow());
 }
 
 void RateLimitTask::FinishDrain() {
-  this->drain_limit.reset();
+  this->drain_timeout.reset();
   const std::function<void()> done = std::exchange(this->drain_done, nullptr);
   if (done) done();
 }
--- a/Source/Core/Process/rate_limit_task.h
+++ b/Source/Core/Process/rate_limit_task.h
@@ -18,8 +18,9 @@
 
 namespace camphorferry::process {
 
-/// Enforces the workspaces' rates at this daemon: holds rate slots through the
-/// store, and borrows from peers when a workspace runs dry here.
+/// Enforces the workspaces' rate limits at this daemon: acquires rate slots
+/// through the store, and borrows rate from peers when a workspace's local
+/// bucket is nearly empty.
 class RateLimitTask {
  public:
   RateLimitTask(connection::EventLoop* loop, connection::ObjectStore* store,
@@ -29,27 +30,27 @@
 
   void SetConfiguration(version::ConfigurationPointer configuration);
 
-  /// Live hosts of the own failure domain, this one included.
+  /// Sets the live hosts of the own failure domain, including this one.
   void SetDomainHosts(const std::set<common::HostId>& hosts);
 
-  /// Peers to borrow from, nearest first.
+  /// Sets the peers to borrow from, nearest first.
   void SetLenders(std::vector<common::HostId> lenders);
 
-  /// Decides about one request of a workspace. A workspace without limits in
-  /// the configuration has no tokens.
+  /// Decides whether to admit one request of a workspace. A workspace without
+  /// limits in the configuration has no tokens.
   Admission Admit(const common::WorkspaceId& workspace, Attempt attempt);
 
-  /// Answers a peer's request for a loan.
+  /// Handles a peer's loan request.
   PeerRateLoan Lend(const common::WorkspaceId& workspace, Millitokens wanted);
 
-  /// Releases the slots; the callback is called when the store has them back
-  /// or after the time given.
+  /// Releases the slots. The callback is called when the store has them back,
+  /// or after the given time limit.
   void Drain(common::Duration limit, std::function<void()> done);
 
   std::size_t HeldSlots() const;
 
-  /// True once the first attempt to take slots has ended, so that a daemon
-  /// which has just started does not refuse its first requests.
+  /// True once the first attempt to acquire slots has ended. A daemon that is
+  /// not started would refuse its first requests.
   bool Started() const { return this->started; }
 
  private:
@@ -60,11 +61,12 @@
   void Perform(const UseSlot& action);
   void Perform(const ExtendSlot& action);
   void Perform(const StopSlot& action);
-  LocalRateLimiter* ShareOf(const common::WorkspaceId& workspace);
+  LocalRateLimiter* LimiterOf(const common::WorkspaceId& workspace);
   void BorrowIfNeeded(const common::WorkspaceId& workspace,
-                      LocalRateLimiter* share);
-  void OnLoan(const common::WorkspaceId& workspace, common::SteadyTime asked_at,
-              const common::HostId& lender, const PeerRateLoan& answer);
+                      LocalRateLimiter* limiter);
+  void OnLoan(const common::WorkspaceId& workspace,
+              common::SteadyTime requested_at, const common::HostId& lender,
+              const PeerRateLoan& reply);
   void FinishDrain();
 
   connection::EventLoop* loop;
@@ -77,17 +79,17 @@
   common::FailureDomainId domain;
   version::ConfigurationPointer configuration;
   std::uint32_t total_slots = 0;
-  /// No slot is taken before this time.
-  common::SteadyTime take_from;
+  /// No slot is acquired before this time.
+  common::SteadyTime acquire_at;
   bool started = false;
   RateSlotLeaseManager::SlotRange range;
-  std::unique_ptr<RateSlotLeaseManager> lease;
+  std::unique_ptr<RateSlotLeaseManager> leases;
   std::set<common::HostId> domain_hosts;
   std::vector<common::HostId> lenders;
-  std::map<common::WorkspaceId, LenderSelector> lender_choices;
-  std::map<common::WorkspaceId, std::unique_ptr<LocalRateLimiter>> shares;
+  std::map<common::WorkspaceId, LenderSelector> lender_selectors;
+  std::map<common::WorkspaceId, std::unique_ptr<LocalRateLimiter>> limiters;
   std::unique_ptr<connection::Timer> tick;
-  std::unique_ptr<connection::Timer> drain_limit;
+  std::unique_ptr<connection::Timer> drain_timeout;
   std::function<void()> drain_done;
 };
 
--- a/Source/Core/Process/rate_slot_lease_manager.cc
+++ b/Source/Core/Process/rate_slot_lease_manager.cc
@@ -16,20 +16,21 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// Interval of reads by a daemon that wants slots, and by one that does not.
-/// With 155 daemons in each of 22 domains the latter makes 57 reads a second.
-constexpr Duration kWantingReadInterval = seconds(15);
+/// Read interval of a daemon that lacks slots, and of one that does not. With
+/// 155 daemons in each of 22 domains the latter makes 57 reads per second.
+constexpr Duration kAcquiringReadInterval = seconds(15);
 constexpr Duration kReadInterval = seconds(60);
-/// A slot beyond the base number is taken only after it was free this long, so
+/// A slot above FairShareFloor is acquired only after it was free this long, so
 /// that daemons with fewer slots come first.
-constexpr Duration kTakeGrace = seconds(60);
-/// First and longest wait after a failed, lost or conflicting call.
-constexpr Duration kFirstRetry = milliseconds(250);
-constexpr Duration kLongestRetry = seconds(30);
-
-/// Factor between 0.5 and 1.5 that differs between hosts and attempts, so that
-/// daemons which conflicted do not all come back at the same time.
-Duration Spread(Duration wait, const HostId& host, std::uint32_t attempt) {
+constexpr Duration kAcquireGracePeriod = seconds(60);
+/// Initial and maximum delay after a failed, lost or conflicting call.
+constexpr Duration kInitialRetryDelay = milliseconds(250);
+constexpr Duration kMaxRetryDelay = seconds(30);
+
+/// Scales a delay by a factor between 0.5 and 1.5 that depends on host and
+/// attempt, so that daemons whose updates conflicted do not all retry at the
+/// same time.
+Duration WithJitter(Duration wait, const HostId& host, std::uint32_t attempt) {
   const std::uint64_t score =
       common::RendezvousScore(std::to_string(attempt), host) % 1000;
   return wait / 2 + wait / 1000 * static_cast<Duration::rep>(score);
@@ -95,24 +96,25 @@
 
 void RateSlotLeaseManager::SetHosts(std::set<HostId> live) {
   this->hosts = std::move(live);
-  // The list lags and may not contain this daemon yet.
+  // The host list may lag and not contain this daemon yet.
   this->hosts.insert(this->host);
 }
 
 SlotActions RateSlotLeaseManager::Tick(SteadyTime now) {
-  this->DropEnded(now);
-  if (this->call != Call::kNone || now < this->next_read || this->Drained()) {
+  this->RemoveExpired(now);
+  if (this->open_call != Call::kNone || now < this->next_read ||
+      this->Drained()) {
     return {};
   }
-  this->call = Call::kRead;
+  this->open_call = Call::kRead;
   return {ReadSlots{}};
 }
 
 SlotActions RateSlotLeaseManager::OnRead(ObjectVersion version,
                                          const std::string& content,
                                          SteadyTime sent, SteadyTime answered) {
-  this->call = Call::kNone;
-  this->DropEnded(answered);
+  this->open_call = Call::kNone;
+  this->RemoveExpired(answered);
   SlotDocument read(this->range.count);
   if (version != 0) {
     try {
@@ -129,37 +131,38 @@
     return {};
   }
   SlotActions actions;
-  this->Learn(read, sent, answered, &actions);
-  this->GiveBack(answered, &actions);
-  std::optional<SlotDocument> next = this->Change(answered);
+  this->ProcessDocument(read, sent, answered, &actions);
+  this->YieldExcessSlots(answered, &actions);
+  std::optional<SlotDocument> next = this->NextDocument(answered);
   if (!next) {
-    this->failures = 0;
+    this->consecutive_failures = 0;
     this->Schedule(answered);
     return actions;
   }
-  this->call = Call::kUpdate;
-  this->write_times[this->writes] = answered;
-  this->pending = std::move(*next);
-  actions.emplace_back(UpdateSlots{version, FormatSlotDocument(this->pending)});
+  this->open_call = Call::kUpdate;
+  this->write_times[this->write_number] = answered;
+  this->pending_document = std::move(*next);
+  actions.emplace_back(
+      UpdateSlots{version, FormatSlotDocument(this->pending_document)});
   return actions;
 }
 
 SlotActions RateSlotLeaseManager::OnReadFailed(SteadyTime now) {
-  this->call = Call::kNone;
-  this->DropEnded(now);
+  this->open_call = Call::kNone;
+  this->RemoveExpired(now);
   this->ScheduleRetry(now);
   return {};
 }
 
 SlotActions RateSlotLeaseManager::OnUpdated(ObjectVersion /*version*/,
                                             SteadyTime now) {
-  this->call = Call::kNone;
-  this->DropEnded(now);
-  this->failures = 0;
+  this->open_call = Call::kNone;
+  this->RemoveExpired(now);
+  this->consecutive_failures = 0;
   SlotActions actions;
-  // What other daemons' slots hold is as old as the read before the update.
-  const SteadyTime sent = this->write_times.at(this->writes);
-  this->Learn(this->pending, sent, now, &actions);
+  // The records of other daemons are as old as the read before the update.
+  const SteadyTime sent = this->write_times.at(this->write_number);
+  this->ProcessDocument(this->pending_document, sent, now, &actions);
   this->Schedule(now);
   return actions;
 }
@@ -169,26 +172,26 @@
 }
 
 SlotActions RateSlotLeaseManager::OnUpdateAnswerLost(SteadyTime now) {
-  this->document_known = false;
+  this->document_current = false;
   return this->OnReadFailed(now);
 }
 
 SlotActions RateSlotLeaseManager::Drain(SteadyTime now) {
-  this->DropEnded(now);
+  this->RemoveExpired(now);
   SlotActions actions;
   this->draining = true;
   while (!this->held.empty()) {
-    this->Stop(this->held.begin()->first, now, &actions);
+    this->StopUsing(this->held.begin()->first, now, &actions);
   }
   this->next_read = now;
   return actions;
 }
 
 bool RateSlotLeaseManager::Drained() const {
-  if (!this->draining || this->call == Call::kUpdate) {
+  if (!this->draining || this->open_call == Call::kUpdate) {
     return false;
   }
-  return this->document_known && this->OwnCount(this->document) == 0;
+  return this->document_current && this->OwnSlotCount(this->document) == 0;
 }
 
 std::map<RateSlotNumber, SteadyTime> RateSlotLeaseManager::HeldSlots(
@@ -208,28 +211,30 @@
          record->incarnation == this->incarnation;
 }
 
-void RateSlotLeaseManager::Learn(const SlotDocument& read, SteadyTime sent,
-                                 SteadyTime now, SlotActions* actions) {
+void RateSlotLeaseManager::ProcessDocument(const SlotDocument& read,
+                                           SteadyTime sent, SteadyTime now,
+                                           SlotActions* actions) {
   for (std::uint32_t index = 0; index < read.size(); ++index) {
     const std::optional<SlotRecord>& record = read[index];
     if (this->IsOwn(record)) {
-      this->LearnOwn(index, *record, now, actions);
+      this->ProcessOwnRecord(index, *record, now, actions);
     } else {
-      this->LearnForeign(index, record, sent, now, actions);
+      this->ProcessForeignRecord(index, record, sent, now, actions);
     }
   }
   this->document = read;
-  this->document_known = true;
+  this->document_current = true;
 }
 
-/// The record names the write that made it, so the lease counts from when that
-/// write was sent, also if its answer was lost.
-void RateSlotLeaseManager::LearnOwn(std::uint32_t index,
-                                    const SlotRecord& record, SteadyTime now,
-                                    SlotActions* actions) {
+/// The record contains the number of the write that made it, so the lease is
+/// counted from when that write was sent, even if its response was lost.
+void RateSlotLeaseManager::ProcessOwnRecord(std::uint32_t index,
+                                            const SlotRecord& record,
+                                            SteadyTime now,
+                                            SlotActions* actions) {
   this->observed.erase(index);
   const auto written = this->write_times.find(record.renewals);
-  if (this->stopped.contains(index) || this->draining ||
+  if (this->pending_release.contains(index) || this->draining ||
       written == this->write_times.end()) {
     return;
   }
@@ -245,77 +250,77 @@
   } else if (end > known->second.end) {
     actions->emplace_back(ExtendSlot{slot, end});
   }
-  this->held[index] = Held{start, end};
+  this->held[index] = HeldLease{start, end};
 }
 
-void RateSlotLeaseManager::LearnForeign(std::uint32_t index,
-                                        const std::optional<SlotRecord>& record,
-                                        SteadyTime sent, SteadyTime now,
-                                        SlotActions* actions) {
+void RateSlotLeaseManager::ProcessForeignRecord(
+    std::uint32_t index, const std::optional<SlotRecord>& record,
+    SteadyTime sent, SteadyTime now, SlotActions* actions) {
   if (this->held.erase(index) > 0) {
     actions->emplace_back(StopSlot{this->range.first + index});
   }
-  this->stopped.erase(index);
+  this->pending_release.erase(index);
   const auto known = this->observed.find(index);
   if (known != this->observed.end() && known->second.record == record) {
     known->second.latest_sent = std::max(known->second.latest_sent, sent);
     return;
   }
-  this->observed[index] = Observed{record, now, sent};
+  this->observed[index] = ObservedRecord{record, now, sent};
 }
 
-void RateSlotLeaseManager::Stop(std::uint32_t index, SteadyTime now,
-                                SlotActions* actions) {
+void RateSlotLeaseManager::StopUsing(std::uint32_t index, SteadyTime now,
+                                     SlotActions* actions) {
   this->held.erase(index);
-  this->stopped[index] = now;
+  this->pending_release[index] = now;
   actions->emplace_back(StopSlot{this->range.first + index});
 }
 
-/// Stops using slots that others need more. Of what the daemons below the base
-/// number miss, this daemon gives the part that it has of all slots above the
-/// base number, so that several daemons together do not give too much.
-void RateSlotLeaseManager::GiveBack(SteadyTime now, SlotActions* actions) {
-  if (this->draining || !this->stopped.empty()) {
+/// Stops using excess slots that other daemons lack. Of what the daemons below
+/// FairShareFloor lack, this daemon yields its proportion of all slots above
+/// the floor, so that several daemons together do not yield too many.
+void RateSlotLeaseManager::YieldExcessSlots(SteadyTime now,
+                                            SlotActions* actions) {
+  if (this->draining || !this->pending_release.empty()) {
     return;
   }
-  const std::uint32_t own = this->OwnCount(this->document);
-  const std::uint32_t base = this->BaseNumber();
-  const std::uint32_t fair = this->FairNumber();
+  const std::uint32_t own = this->OwnSlotCount(this->document);
+  const std::uint32_t floor = this->FairShareFloor();
+  const std::uint32_t ceiling = this->FairShareCeiling();
   std::uint32_t missing = 0;
-  std::uint32_t excess = own > base ? own - base : 0;
-  bool any_below_fair = false;
+  std::uint32_t excess = own > floor ? own - floor : 0;
+  bool any_below_ceiling = false;
   for (const HostId& other : this->hosts) {
     if (other == this->host) {
       continue;
     }
-    const std::uint32_t count = this->CountOf(this->document, other);
-    missing += count < base ? base - count : 0;
-    excess += count > base ? count - base : 0;
-    any_below_fair = any_below_fair || count < fair;
+    const std::uint32_t count = this->SlotCountOf(this->document, other);
+    missing += count < floor ? floor - count : 0;
+    excess += count > floor ? count - floor : 0;
+    any_below_ceiling = any_below_ceiling || count < ceiling;
   }
   const auto free = static_cast<std::uint32_t>(
       std::count(this->document.begin(), this->document.end(), std::nullopt));
-  std::uint32_t give = 0;
-  if (own > base && missing > free) {
-    give = ((missing - free) * (own - base) + excess - 1) / excess;
+  std::uint32_t to_yield = 0;
+  if (own > floor && missing > free) {
+    to_yield = ((missing - free) * (own - floor) + excess - 1) / excess;
   }
-  if (own > fair && any_below_fair && free == 0) {
-    give = std::max(give, own - fair);
+  if (own > ceiling && any_below_ceiling && free == 0) {
+    to_yield = std::max(to_yield, own - ceiling);
   }
-  while (give > 0 && !this->held.empty()) {
-    this->Stop(this->held.rbegin()->first, now, actions);
-    --give;
+  while (to_yield > 0 && !this->held.empty()) {
+    this->StopUsing(this->held.rbegin()->first, now, actions);
+    --to_yield;
   }
 }
 
-/// The document that this daemon wants, if it differs from the one read.
-std::optional<SlotDocument> RateSlotLeaseManager::Change(SteadyTime now) {
-  ++this->writes;
+/// Returns the document to write, if it differs from the one read.
+std::optional<SlotDocument> RateSlotLeaseManager::NextDocument(SteadyTime now) {
+  ++this->write_number;
   SlotDocument next = this->document;
-  this->Release(&next, now);
+  this->ReleaseUnusedSlots(&next, now);
   if (!this->draining) {
-    this->Renew(&next, now);
-    this->Take(&next);
+    this->RenewLeases(&next, now);
+    this->AcquireSlots(&next);
   }
   if (next == this->document) {
     return std::nullopt;
@@ -325,16 +330,17 @@
 
 /// Frees the slots that are no longer used, once the loans given from them have
 /// ended.
-void RateSlotLeaseManager::Release(SlotDocument* next, SteadyTime now) const {
+void RateSlotLeaseManager::ReleaseUnusedSlots(SlotDocument* next,
+                                              SteadyTime now) const {
   for (std::uint32_t index = 0; index < next->size(); ++index) {
     if (!this->IsOwn((*next)[index])) {
       continue;
     }
-    const auto since = this->stopped.find(index);
-    const bool unused = since == this->stopped.end() &&
+    const auto since = this->pending_release.find(index);
+    const bool unused = since == this->pending_release.end() &&
                         !this->held.contains(index) && this->draining;
     const bool loans_ended =
-        since != this->stopped.end() &&
+        since != this->pending_release.end() &&
         now >= since->second + GrantorPeriod(kLoanDuration);
     if (unused || loans_ended) {
       (*next)[index].reset();
@@ -342,11 +348,12 @@
   }
 }
 
-/// Renews all own slots at once if one of them is due.
-void RateSlotLeaseManager::Renew(SlotDocument* next, SteadyTime now) const {
+/// Renews the leases of all own slots if one of them is due.
+void RateSlotLeaseManager::RenewLeases(SlotDocument* next,
+                                       SteadyTime now) const {
   bool due = false;
   for (std::uint32_t index = 0; index < next->size(); ++index) {
-    if (!this->IsOwn((*next)[index]) || this->stopped.contains(index)) {
+    if (!this->IsOwn((*next)[index]) || this->pending_release.contains(index)) {
       continue;
     }
     const auto lease = this->held.find(index);
@@ -357,35 +364,36 @@
     return;
   }
   for (std::uint32_t index = 0; index < next->size(); ++index) {
-    if (this->IsOwn((*next)[index]) && !this->stopped.contains(index)) {
-      (*next)[index]->renewals = this->writes;
+    if (this->IsOwn((*next)[index]) && !this->pending_release.contains(index)) {
+      (*next)[index]->renewals = this->write_number;
     }
   }
 }
 
-void RateSlotLeaseManager::Take(SlotDocument* next) const {
-  std::uint32_t own = this->OwnCount(*next);
+void RateSlotLeaseManager::AcquireSlots(SlotDocument* next) const {
+  std::uint32_t own = this->OwnSlotCount(*next);
   for (std::uint32_t index = 0; index < next->size(); ++index) {
-    const bool below_base = own < this->BaseNumber();
-    if (!below_base && own >= this->FairNumber()) {
+    const bool below_floor = own < this->FairShareFloor();
+    if (!below_floor && own >= this->FairShareCeiling()) {
       return;
     }
-    const Duration grace = below_base ? Duration::zero() : kTakeGrace;
-    if (this->IsOwn((*next)[index]) || !this->MayTake(index, grace)) {
+    const Duration grace = below_floor ? Duration::zero() : kAcquireGracePeriod;
+    if (this->IsOwn((*next)[index]) || !this->CanAcquire(index, grace)) {
       continue;
     }
     (*next)[index] = SlotRecord{.holder = this->host,
                                 .incarnation = this->incarnation,
-                                .nonce = this->writes,
-                                .renewals = this->writes};
+                                .nonce = this->write_number,
+                                .renewals = this->write_number};
     ++own;
   }
 }
 
-/// Only the time between reads that showed the same record counts: what
-/// happened while this daemon did not look, for example while it was paused,
-/// is not known before the next read.
-bool RateSlotLeaseManager::MayTake(std::uint32_t index, Duration grace) const {
+/// Only the time between reads that showed the same record is counted: what
+/// happened while this daemon did not read, for example while it was paused, is
+/// unknown until the next read.
+bool RateSlotLeaseManager::CanAcquire(std::uint32_t index,
+                                      Duration grace) const {
   const auto known = this->observed.find(index);
   if (known == this->observed.end()) {
     return false;
@@ -401,39 +409,44 @@
   return unchanged >= GrantorPeriod(kSlotLeaseDuration) + grace;
 }
 
-std::uint32_t RateSlotLeaseManager::CountOf(const SlotDocument& slots,
-                                            const HostId& of) const {
+std::uint32_t RateSlotLeaseManager::SlotCountOf(const SlotDocument& slots,
+                                                const HostId& of) const {
   return static_cast<std::uint32_t>(std::count_if(
       slots.begin(), slots.end(),
       [&of](const auto& record) { return record && record->holder == of; }));
 }
 
-std::uint32_t RateSlotLeaseManager::OwnCount(const SlotDocument& slots) const {
+std::uint32_t RateSlotLeaseManager::OwnSlotCount(
+    const SlotDocument& slots) const {
   return static_cast<std::uint32_t>(std::count_if(
       slots.begin(), slots.end(),
       [this](const auto& record) { return this->IsOwn(record); }));
 }
 
-/// Number of slots that every daemon can have, one at least.
-std::uint32_t RateSlotLeaseManager::BaseNumber() const {
+/// Number of slots that every daemon can have at least: the equal share rounded
+/// down, but not below one.
+std::uint32_t RateSlotLeaseManager::FairShareFloor() const {
   const auto daemons = static_cast<std::uint32_t>(this->hosts.size());
   return std::max<std::uint32_t>(1, this->range.count / daemons);
 }
 
-/// Number of slots at which all slots are held when all daemons have it.
-std::uint32_t RateSlotLeaseManager::FairNumber() const {
+/// The equal share rounded up: all slots are held if every daemon has this
+/// many.
+std::uint32_t RateSlotLeaseManager::FairShareCeiling() const {
   const auto daemons = static_cast<std::uint32_t>(this->hosts.size());
   return (this->range.count + daemons - 1) / daemons;
 }
 
 void RateSlotLeaseManager::Schedule(SteadyTime now) {
-  const bool wants = this->OwnCount(this->document) < this->BaseNumber();
-  this->next_read = now + (wants ? kWantingReadInterval : kReadInterval);
+  const bool below_fair_share =
+      this->OwnSlotCount(this->document) < this->FairShareFloor();
+  this->next_read =
+      now + (below_fair_share ? kAcquiringReadInterval : kReadInterval);
   for (const auto& [index, lease] : this->held) {
     this->next_read =
         std::min(this->next_read, lease.start + kSlotRenewalInterval);
   }
-  for (const auto& [index, since] : this->stopped) {
+  for (const auto& [index, since] : this->pending_release) {
     this->next_read =
         std::min(this->next_read, since + GrantorPeriod(kLoanDuration));
   }
@@ -441,17 +454,20 @@
 }
 
 void RateSlotLeaseManager::ScheduleRetry(SteadyTime now) {
-  const std::uint32_t doublings = std::min<std::uint32_t>(this->failures, 10);
-  const Duration wait = std::min(kFirstRetry * (1 << doublings), kLongestRetry);
-  ++this->failures;
-  this->next_read = now + Spread(wait, this->host, this->failures);
+  const std::uint32_t doublings =
+      std::min<std::uint32_t>(this->consecutive_failures, 10);
+  const Duration wait =
+      std::min(kInitialRetryDelay * (1 << doublings), kMaxRetryDelay);
+  ++this->consecutive_failures;
+  this->next_read =
+      now + WithJitter(wait, this->host, this->consecutive_failures);
 }
 
-void RateSlotLeaseManager::DropEnded(SteadyTime now) {
+void RateSlotLeaseManager::RemoveExpired(SteadyTime now) {
   std::erase_if(this->held,
                 [now](const auto& slot) { return slot.second.end <= now; });
   std::erase_if(this->write_times, [this, now](const auto& write) {
-    return write.first != this->writes &&
+    return write.first != this->write_number &&
            write.second + kSlotLeaseDuration <= now;
   });
 }
--- a/Source/Core/Process/request_context.h
+++ b/Source/Core/Process/request_context.h
@@ -16,8 +16,9 @@
 
 namespace camphorferry::process {
 
-/// What every request of this daemon uses. It lives as long as the process;
-/// configuration and keys change with each version.
+/// Shared state of all requests of this daemon. It lives as long as the
+/// process; configuration and keys are replaced with each configuration
+/// version.
 struct RequestContext {
   connection::EventLoop* loop = nullptr;
   RateLimitTask* rates = nullptr;
--- a/Source/Core/Process/request_task.cc
+++ b/Source/Core/Process/request_task.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// How long a request waits for a token before it is refused.
+/// Maximum time that a request waits for a rate limit token before it is
+/// rejected.
 constexpr std::chrono::milliseconds kMaxTokenWait(500);
 constexpr std::chrono::milliseconds kMinTokenWait(1);
 constexpr std::chrono::milliseconds kTokenCheckInterval(20);
@@ -23,14 +24,14 @@
       configuration(context->configuration) {}
 
 void RequestTask::Start() {
-  const std::optional<request::NotRunReason> refusal = this->Check();
+  const std::optional<request::NotRunReason> refusal = this->Validate();
   if (refusal) {
     this->Finish(request::NotRun{*refusal, std::nullopt});
     return;
   }
   this->token_deadline =
       std::min(this->record.deadline, common::SteadyNow() + kMaxTokenWait);
-  this->TakeToken(Attempt::kFirst);
+  this->AcquireToken(Attempt::kFirst);
 }
 
 void RequestTask::Run() {
@@ -39,7 +40,7 @@
   this->SendAttempt();
 }
 
-std::optional<request::NotRunReason> RequestTask::Check() {
+std::optional<request::NotRunReason> RequestTask::Validate() {
   using request::NotRunReason;
   if (this->configuration == nullptr) return NotRunReason::kNoConfiguration;
   const auto route = this->configuration->routes.find(this->record.route);
@@ -64,11 +65,11 @@
     this->workspace = common::WorkspaceId(kOpenRouteWorkspace);
     return std::nullopt;
   }
-  const auto owner = this->context->keys->WorkspaceOf(this->key);
-  if (!owner) return NotRunReason::kUnknownKey;
-  this->workspace = *owner;
-  this->weight = this->configuration->workspaces.at(*owner).weight;
-  const bool allowed = route.open || route.workspaces.contains(*owner);
+  const auto key_owner = this->context->keys->WorkspaceOf(this->key);
+  if (!key_owner) return NotRunReason::kUnknownKey;
+  this->workspace = *key_owner;
+  this->weight = this->configuration->workspaces.at(*key_owner).weight;
+  const bool allowed = route.open || route.workspaces.contains(*key_owner);
   if (!allowed) return NotRunReason::kRouteForbidden;
   return std::nullopt;
 }
@@ -80,7 +81,8 @@
                         : request::SessionToken::Decode(
                               this->record.session,
                               this->context->session_secrets, this->workspace);
-    // A service that would not fit must be refused before the request runs.
+    // A service that does not fit into the session token must be rejected
+    // before the request is executed.
     this->session->Advance(this->service_id, common::LogPosition{});
   } catch (const request::BadSessionTokenError&) {
     return request::NotRunReason::kBadSessionToken;
@@ -90,7 +92,7 @@
   return std::nullopt;
 }
 
-void RequestTask::TakeToken(Attempt attempt) {
+void RequestTask::AcquireToken(Attempt attempt) {
   const bool limited =
       this->configuration->workspaces.contains(this->workspace);
   if (!limited) {
@@ -104,9 +106,9 @@
     this->Run();
     return;
   }
-  // A loan from another daemon arrives within the wait, so a request inside
-  // the workspace's rate is not refused because it came to a daemon whose part
-  // is used up.
+  // A rate loan from another daemon arrives within the wait, so a request
+  // within the workspace's rate is not rejected merely because it reached a
+  // daemon whose share is used up.
   const common::Duration wait = std::clamp<common::Duration>(
       refused->retry_after, kMinTokenWait, kTokenCheckInterval);
   if (common::SteadyNow() + wait >= this->token_deadline) {
@@ -115,7 +117,7 @@
     return;
   }
   this->context->loop->RunLater(wait, [self = this->shared_from_this()] {
-    self->TakeToken(Attempt::kRetry);
+    self->AcquireToken(Attempt::kRetry);
   });
 }
 
@@ -164,26 +166,28 @@
     this->call.endpoint = primary.endpoint;
     return;
   }
-  // Any endpoint's owner knows the primary or waits until there is one.
+  // The owner of any of the endpoints knows the primary or waits until there is
+  // one.
   const auto& endpoints = this->service->endpoints;
-  this->call.endpoint = endpoints[this->next_guess++ % endpoints.size()].id;
+  this->call.endpoint =
+      endpoints[this->next_write_endpoint++ % endpoints.size()].id;
 }
 
 void RequestTask::ChooseReadEndpoint() {
   const bool all_tried = this->next_candidate >= this->candidates.size();
-  if (all_tried) this->OrderCandidates();
+  if (all_tried) this->RefreshReadCandidates();
   const request::ReadCandidate& candidate =
       this->candidates[this->next_candidate++];
   this->call.endpoint = candidate.endpoint;
   this->call.wait = candidate.wait;
 }
 
-void RequestTask::OrderCandidates() {
+void RequestTask::RefreshReadCandidates() {
   const connection::PrimaryHint primary =
       this->context->primaries->Find(this->service_id);
   std::vector<request::ReadEndpoint> endpoints;
   for (const version::Endpoint& endpoint : this->service->endpoints) {
-    endpoints.push_back(this->Describe(endpoint, primary));
+    endpoints.push_back(this->DescribeEndpoint(endpoint, primary));
   }
   const request::ReadRequirement requirement{this->call.min_position,
                                              this->call.max_age};
@@ -193,7 +197,8 @@
       reads.Candidates(endpoints, requirement, spread, common::SteadyNow());
   this->next_candidate = 0;
   if (!this->candidates.empty()) return;
-  // Nothing is believed reachable; asking costs less than refusing.
+  // No endpoint is considered reachable. Trying them all is cheaper than
+  // rejecting the request.
   for (request::ReadEndpoint& endpoint : endpoints) endpoint.reachable = true;
   this->candidates =
       reads.Candidates(endpoints, requirement, spread, common::SteadyNow());
@@ -209,29 +214,29 @@
   return home;
 }
 
-request::ReadEndpoint RequestTask::Describe(
+request::ReadEndpoint RequestTask::DescribeEndpoint(
     const version::Endpoint& endpoint,
     const connection::PrimaryHint& primary) const {
-  request::ReadEndpoint described;
-  described.id = endpoint.id;
-  described.domain = endpoint.domain;
+  request::ReadEndpoint result;
+  result.id = endpoint.id;
+  result.domain = endpoint.domain;
   const auto domain = this->configuration->domains.find(endpoint.domain);
   if (domain != this->configuration->domains.end()) {
-    described.region = domain->second.region;
+    result.region = domain->second.region;
   }
-  described.role = endpoint.id == primary.endpoint
-                       ? request::EndpointRole::kPrimary
-                       : request::EndpointRole::kReplica;
-  const EndpointDirectory::Entry& known =
+  result.role = endpoint.id == primary.endpoint
+                    ? request::EndpointRole::kPrimary
+                    : request::EndpointRole::kReplica;
+  const EndpointDirectory::Entry& entry =
       this->context->endpoints.Find(endpoint.id);
-  described.position = known.position;
-  described.position_learned = known.learned;
-  described.reachable = known.avoid_until <= common::SteadyNow();
-  return described;
+  result.position = entry.position;
+  result.position_learned = entry.updated_at;
+  result.reachable = entry.avoid_until <= common::SteadyNow();
+  return result;
 }
 
 void RequestTask::OnReply(const connection::StatementReply& reply) {
-  this->LearnFrom(reply);
+  this->UpdateDirectories(reply);
   const double jitter =
       std::uniform_real_distribution<>(0, 1)(this->context->random);
   request::RetryDecision decision = this->policy->Decide(
@@ -246,18 +251,19 @@
   this->Finish(std::move(std::get<request::Report>(decision).outcome));
 }
 
-void RequestTask::LearnFrom(const connection::StatementReply& reply) {
-  this->context->endpoints.Learn(this->call.endpoint, reply,
-                                 common::SteadyNow());
+void RequestTask::UpdateDirectories(const connection::StatementReply& reply) {
+  this->context->endpoints.Update(this->call.endpoint, reply,
+                                  common::SteadyNow());
   if (!reply.primary.endpoint.Empty()) {
-    this->context->primaries->Learn(this->service_id, reply.primary);
+    this->context->primaries->Update(this->service_id, reply.primary);
     return;
   }
-  // Without a hint the owner itself may be gone; the next attempt asks others.
+  // Without a hint the owner itself may have failed; the next attempt asks
+  // another owner.
   const bool done = std::holds_alternative<request::Done>(reply.outcome);
   if (this->call.is_write && !done) {
-    this->context->primaries->Forget(this->service_id,
-                                     {this->call.endpoint, this->call.term});
+    this->context->primaries->Invalidate(
+        this->service_id, {this->call.endpoint, this->call.term});
   }
 }
 
--- a/Source/Core/Process/request_task.h
+++ b/Source/Core/Process/request_task.h
@@ -12,55 +12,59 @@
 
 namespace camphorferry::process {
 
-/// Workspace that requests without a key on open routes count for.
+/// Workspace to which requests without a key on open routes are attributed.
 inline constexpr char kOpenRouteWorkspace[] = "public";
 
-/// What the client gets.
+/// Result of a request for the client.
 struct RequestAnswer {
   request::Outcome outcome;
-  /// New session token; empty if the request did not run.
+  /// New session token; empty if the request was not executed.
   std::string session;
 };
 
-/// One client request from its check to its outcome: authenticates, admits by
-/// the workspace's rate, chooses endpoints, retries, and advances the session.
+/// Processes one client request from validation to its outcome: authenticates
+/// it, applies the workspace's rate limit, chooses endpoints, retries, and
+/// updates the session token.
 class RequestTask : public std::enable_shared_from_this<RequestTask> {
  public:
   using Callback = std::function<void(RequestAnswer)>;
 
-  /// The key is empty if the client presented none.
+  /// The key is empty if the client sent none.
   RequestTask(RequestContext* context, request::RequestRecord record,
               std::string key, Callback done);
 
-  /// Starts the request; the task keeps itself alive until its end.
+  /// Starts the request. The task keeps itself alive until it ends.
   void Start();
 
  private:
-  std::optional<request::NotRunReason> Check();
+  std::optional<request::NotRunReason> Validate();
   std::optional<request::NotRunReason> Authenticate(
       const version::Route& route);
   std::optional<request::NotRunReason> ReadSession();
-  /// Asks for a token; waits a little for one before it refuses.
-  void TakeToken(Attempt attempt);
+  /// Takes a rate limit token, and waits for one up to kMaxTokenWait before the
+  /// request is rejected.
+  void AcquireToken(Attempt attempt);
   void Run();
   void PrepareCall();
   request::RetryBudget& Budget();
   void SendAttempt();
   void ChooseWriteEndpoint();
   void ChooseReadEndpoint();
-  void OrderCandidates();
+  void RefreshReadCandidates();
   request::ReadHome Home() const;
-  request::ReadEndpoint Describe(const version::Endpoint& endpoint,
-                                 const connection::PrimaryHint& primary) const;
+  request::ReadEndpoint DescribeEndpoint(
+      const version::Endpoint& endpoint,
+      const connection::PrimaryHint& primary) const;
   void OnReply(const connection::StatementReply& reply);
-  void LearnFrom(const connection::StatementReply& reply);
+  void UpdateDirectories(const connection::StatementReply& reply);
   void Finish(request::Outcome outcome);
 
   RequestContext* context;
   request::RequestRecord record;
   std::string key;
   Callback done;
-  /// Kept for the whole request, so that a new version changes none that runs.
+  /// Fixed for the whole request, so that a new version does not affect running
+  /// requests.
   version::ConfigurationPointer configuration;
   const version::Service* service = nullptr;
   common::ServiceId service_id;
@@ -70,11 +74,12 @@
   common::SteadyTime token_deadline;
   connection::StatementCall call;
   std::optional<request::RetryPolicy> policy;
-  /// Endpoints for a read in the order in which they are tried.
+  /// Endpoints for a read, in the order in which they are tried.
   std::vector<request::ReadCandidate> candidates;
   std::size_t next_candidate = 0;
-  /// Counts on through the service's endpoints while no primary is known.
-  std::size_t next_guess = 0;
+  /// Round-robin index over the service's endpoints, used while no primary is
+  /// known.
+  std::size_t next_write_endpoint = 0;
 };
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/settings.cc
+++ b/Source/Core/Process/settings.cc
@@ -20,8 +20,8 @@
 using common::TomlTable;
 using connection::SocketAddress;
 
-constexpr std::string_view kAnyIp = "0.0.0.0";
-// As long as the 256-bit HMAC that the secrets key.
+constexpr std::string_view kWildcardIp = "0.0.0.0";
+// As long as the output of the 256-bit HMAC that the secrets key.
 constexpr std::size_t kMinSecretLength = 32;
 
 bool IsDialableAddress(std::string_view text) {
@@ -51,20 +51,20 @@
 constexpr TextRule kSecret{IsSecret, "at least 32 characters",
                            /*secret=*/true};
 
-/// One setting: its place, what it accepts and, unless it is required, what
-/// holds without it.
+/// Definition of one setting: section, key, accepted values and, unless it is
+/// required, its default value.
 template <typename Rule, typename Value>
 struct Setting {
   std::string_view section;
   std::string_view key;
   Rule rule;
-  std::optional<Value> fallback;
+  std::optional<Value> default_value;
 };
 using TextSetting = Setting<TextRule, std::string_view>;
 using IntegerSetting = Setting<IntegerRule, std::int64_t>;
 
-// All settings of a daemon, except the list [peers] hosts, whose entries have
-// fields of their own.
+// All settings of a daemon except the list [peers] hosts, whose entries have
+// their own fields.
 constexpr TextSetting kHostId{"host", "id", kName, {}};
 constexpr TextSetting kHostDomain{"host", "domain", kName, {}};
 constexpr TextSetting kClients{"listen", "clients", kListenAddress, {}};
@@ -78,13 +78,14 @@
     "level",
     {IsLogLevel, "'debug', 'info', 'warning' or 'error'"},
     "info"};
-// A shutdown takes 30 s at most and a request 25 s; the notice is the rest.
+// A shutdown takes at most 30 s and a request at most 25 s; the notice gets the
+// remaining 5 s.
 constexpr IntegerSetting kNoticeMs{"shutdown", "notice_ms", {0, 5000}, 1000};
 
 constexpr std::string_view kPeerHosts = "hosts";
 
-/// Reads the sections of one file; an absent section reads as an empty one, so
-/// that each of its required settings is reported.
+/// Reads the sections of one file. An absent section is read as an empty one,
+/// so that each of its required settings is reported as missing.
 class SectionReader {
  public:
   SectionReader(const toml::table* root, const std::string& file,
@@ -104,10 +105,10 @@
 
   std::string Text(const TextSetting& setting) {
     return this->Section(setting.section)
-        .Text(setting.key, setting.rule, setting.fallback);
+        .Text(setting.key, setting.rule, setting.default_value);
   }
 
-  /// An empty address stands for a faulty one.
+  /// Returns an empty address if the setting is invalid.
   SocketAddress Address(const TextSetting& setting) {
     const std::string text = this->Text(setting);
     if (text.empty()) return {};
@@ -116,7 +117,7 @@
 
   std::int64_t Integer(const IntegerSetting& setting) {
     return this->Section(setting.section)
-        .Integer(setting.key, setting.rule, setting.fallback);
+        .Integer(setting.key, setting.rule, setting.default_value);
   }
 
   template <typename Rule, typename Value>
@@ -140,12 +141,14 @@
 };
 
 /// True if two sockets cannot listen on these addresses at the same time.
-bool Collide(const SocketAddress& left, const SocketAddress& right) {
+bool Overlap(const SocketAddress& left, const SocketAddress& right) {
   if (left.port == 0 || left.port != right.port) return false;
-  return left.ip == right.ip || left.ip == kAnyIp || right.ip == kAnyIp;
+  return left.ip == right.ip || left.ip == kWildcardIp ||
+         right.ip == kWildcardIp;
 }
 
-/// Reads the peers and checks them against each other and against the host.
+/// Reads the peers and checks them for conflicts with each other and with this
+/// host.
 std::vector<PeerSetting> ReadPeers(SectionReader* reader,
                                    const Settings& settings) {
   std::vector<PeerSetting> peers;
@@ -199,7 +202,7 @@
   for (std::size_t later = 1; later < listeners.size(); ++later) {
     const auto& [setting, address] = listeners[later];
     for (std::size_t earlier = 0; earlier < later; ++earlier) {
-      if (!Collide(address, listeners[earlier].second)) continue;
+      if (!Overlap(address, listeners[earlier].second)) continue;
       reader->Report(*setting, FaultKind::kContradiction,
                      connection::ToString(address),
                      "another address than listen." +
--- a/Source/Core/Process/settings.h
+++ b/Source/Core/Process/settings.h
@@ -10,7 +10,7 @@
 
 namespace camphorferry::process {
 
-/// Another daemon that this one may talk to.
+/// Address of another daemon.
 struct PeerSetting {
   common::HostId id;
   common::FailureDomainId domain;
@@ -19,10 +19,10 @@
   bool operator==(const PeerSetting&) const = default;
 };
 
-/// How daemons protect connections between each other.
+/// Transport security between daemons.
 enum class PeerTls { kOff };
 
-/// Settings of one daemon; they do not change while it runs.
+/// Settings of one daemon. They do not change while it runs.
 struct Settings {
   common::HostId host;
   common::FailureDomainId domain;
@@ -30,30 +30,31 @@
   connection::SocketAddress operators;
   connection::SocketAddress peers;
   connection::SocketAddress store;
-  /// The platform's host list adds to these.
+  /// Peers from the settings; the platform's host list adds further ones.
   std::vector<PeerSetting> peer_hosts;
   PeerTls peer_tls = PeerTls::kOff;
-  /// The first signs session tokens; all verify them.
+  /// The first secret signs session tokens; all of them verify tokens.
   std::vector<std::string> session_secrets;
   common::LogLevel log_level = common::LogLevel::kInfo;
-  /// Time between reporting not ready and refusing connections, in which the
-  /// load balancer notices.
+  /// Time between reporting "not ready" and closing the client listener, in
+  /// which the load balancer takes the daemon out of service.
   common::Duration shutdown_notice{};
 
   bool operator==(const Settings&) const = default;
 };
 
-/// A settings file has faults.
+/// A settings file is invalid.
 class SettingsError : public common::FaultListError {
  public:
   using FaultListError::FaultListError;
 };
 
-/// Reads and checks a settings file as a whole; throws SettingsError with every
-/// fault of the file.
+/// Reads and checks a settings file; throws SettingsError with all faults of
+/// the file.
 Settings ReadSettings(const std::filesystem::path& file);
 
-/// Checks the text of a settings file; the file name is for faults only.
+/// Parses and checks the text of a settings file. The file name is used only in
+/// faults.
 Settings ParseSettings(const std::string& text, const std::string& file);
 
 }  // namespace camphorferry::process
--- a/Source/Core/Process/statement_router.cc
+++ b/Source/Core/Process/statement_router.cc
@@ -26,8 +26,8 @@
 
 void StatementRouter::Execute(const connection::StatementCall& call,
                               EndpointPool::Callback done) {
-  const common::HostId owner_host = this->OwnerOf(call.endpoint);
-  if (owner_host.Empty()) {
+  const common::HostId owner = this->OwnerOf(call.endpoint);
+  if (owner.Empty()) {
     this->loop->Post([done = std::move(done)] {
       done({request::NotRun{request::NotRunReason::kEndpointUnreachable,
                             std::nullopt},
@@ -35,31 +35,31 @@
     });
     return;
   }
-  if (owner_host == this->self) {
+  if (owner == this->self) {
     this->counters->Add("statements_served_here");
-    this->owner->Execute(call, std::move(done));
+    this->local_owner->Execute(call, std::move(done));
     return;
   }
   this->counters->Add("statements_forwarded");
-  this->peers->Execute(owner_host, call, common::SteadyNow(), std::move(done));
+  this->peers->Execute(owner, call, common::SteadyNow(), std::move(done));
 }
 
 void StatementRouter::Confirm(const common::EndpointId& endpoint,
                               common::LogPosition position,
                               common::Duration wait,
                               ConfirmBatcher::Callback done) {
-  const common::HostId owner_host = this->OwnerOf(endpoint);
-  if (owner_host.Empty()) {
+  const common::HostId owner = this->OwnerOf(endpoint);
+  if (owner.Empty()) {
     this->loop->Post(
         [done = std::move(done)] { done(connection::ConfirmReply{}); });
     return;
   }
-  if (owner_host == this->self) {
-    this->owner->Confirm(endpoint, position, wait, std::move(done));
+  if (owner == this->self) {
+    this->local_owner->Confirm(endpoint, position, wait, std::move(done));
     return;
   }
   this->counters->Add("confirms_forwarded");
-  this->peers->Confirm(owner_host, endpoint, position, wait, std::move(done));
+  this->peers->Confirm(owner, endpoint, position, wait, std::move(done));
 }
 
 common::HostId StatementRouter::OwnerOf(
--- a/Source/Core/Process/statement_router.h
+++ b/Source/Core/Process/statement_router.h
@@ -10,24 +10,25 @@
 
 namespace camphorferry::process {
 
-/// Sends statements and confirms to the daemon that owns the endpoint's
-/// connections, which may be this one.
+/// Routes statements and confirm requests to the daemon that owns the
+/// endpoint's connections, which may be this one.
 class StatementRouter {
  public:
   StatementRouter(connection::EventLoop* loop, common::HostId self,
                   const Membership* membership, PeerClient* peers,
                   Counters* counters);
 
-  /// The part that serves the endpoints owned here; set once at the start.
-  void SetOwner(EndpointOwner* owner) { this->owner = owner; }
+  /// Sets the handler of requests to endpoints owned by this daemon. To be
+  /// called once at startup.
+  void SetLocalOwner(EndpointOwner* owner) { this->local_owner = owner; }
 
   void SetConfiguration(const version::ConfigurationPointer& configuration);
 
-  /// Runs a statement; the callback is called once.
+  /// Executes a statement at the endpoint's owner. The callback is called once.
   void Execute(const connection::StatementCall& call,
                EndpointPool::Callback done);
 
-  /// Asks whether an endpoint holds an entry.
+  /// Asks whether an endpoint holds a log entry.
   void Confirm(const common::EndpointId& endpoint, common::LogPosition position,
                common::Duration wait, ConfirmBatcher::Callback done);
 
@@ -40,7 +41,7 @@
   const Membership* membership;
   PeerClient* peers;
   Counters* counters;
-  EndpointOwner* owner = nullptr;
+  EndpointOwner* local_owner = nullptr;
   std::map<common::EndpointId, common::FailureDomainId> endpoint_domains;
 };
 
--- a/Source/Core/Process/timeline.h
+++ b/Source/Core/Process/timeline.h
@@ -9,32 +9,34 @@
 
 namespace camphorferry::process {
 
-/// One event of any process in the merged time line.
+/// One event in the merged time line of several processes.
 struct TimelineEntry {
   common::HybridTime time = 0;
   common::HostId host;
   std::uint64_t sequence = 0;
   std::string event;
-  /// Fields as key=value text.
+  /// Fields as "key=value" text, separated by spaces.
   std::string fields;
 };
 
-/// The events of one process are not in the form that EventLog writes.
+/// The document does not have the form that EventLog writes.
 class BadTimelineError : public common::Error {
  public:
   BadTimelineError();
 };
 
-/// Reads the events of one process; throws BadTimelineError.
+/// Parses the events of one process; throws BadTimelineError.
 std::vector<TimelineEntry> ParseTimeline(const nlohmann::json& document);
 
-/// Sorts events of several processes so that no effect stands before its cause.
+/// Sorts the events of several processes by hybrid time, so that no effect
+/// precedes its cause.
 void SortTimeline(std::vector<TimelineEntry>* entries);
 
-/// One line for each event.
+/// Formats the time line as text, one line per event.
 std::string TimelineToText(const std::vector<TimelineEntry>& entries);
 
-/// A self-contained HTML page with one column for each host.
+/// Formats the time line as a self-contained HTML page with one column per
+/// host.
 std::string TimelineToHtml(const std::vector<TimelineEntry>& entries);
 
 }  // namespace camphorferry::process
--- a/Source/UnitTests/Core/Process/failover_coordinator_test.cc
+++ b/Source/UnitTests/Core/Process/failover_coordinator_test.cc
@@ -16,7 +16,7 @@
 using request::EndpointRole;
 using std::chrono::milliseconds;
 
-/// Answers the coordinator's polls from a table and collects its other actions.
+/// Answers the coordinator's polls from a table and records its other actions.
 class FailoverCoordinatorTest : public testing::Test {
  protected:
   FailoverCoordinatorTest() { this->Create(0); }
@@ -30,18 +30,18 @@
     this->statuses[id] = EndpointStatus{term, fence, role, position};
   }
 
-  /// A group with primary a of term 1.
-  void SetHealthyGroup() {
+  /// Sets up a healthy group whose primary is a, with term 1.
+  void SetUpHealthyGroup() {
     this->SetStatus(a, 1, 1, EndpointRole::kPrimary, {1, 9});
     this->SetStatus(b, 1, 1, EndpointRole::kReplica, {1, 8});
     this->SetStatus(c, 1, 1, EndpointRole::kReplica, {1, 7});
   }
 
   void Send(const FailoverEvent& event) {
-    this->Carry(this->coordinator->Handle(event, this->now));
+    this->PerformActions(this->coordinator->Handle(event, this->now));
   }
 
-  void Carry(const std::vector<FailoverAction>& actions) {
+  void PerformActions(const std::vector<FailoverAction>& actions) {
     for (const FailoverAction& action : actions) {
       std::visit([this](const auto& typed) { this->Collect(typed); }, action);
     }
@@ -73,18 +73,19 @@
     }
   }
 
-  /// Runs until a condition holds; the time that it took.
+  /// Runs until a condition holds or kRunLimit has passed; returns the time
+  /// taken.
   template <typename Condition>
   milliseconds RunUntil(Condition condition) {
     milliseconds passed{0};
-    while (!condition() && passed < kLimit) {
+    while (!condition() && passed < kRunLimit) {
       this->Run(kStep);
       passed += kStep;
     }
     return passed;
   }
 
-  /// The last fence request to an endpoint, granted by it.
+  /// Returns the grant of an endpoint for the last fence request sent to it.
   FenceReply Granted(const EndpointId& id, LogPosition position) {
     FenceReply reply{id, 0, true, 0, "p1", position};
     for (const SendFence& fence : this->fences) {
@@ -96,26 +97,27 @@
     return reply;
   }
 
-  /// Kills the primary and waits for the fence requests.
-  void StartRoundAfterKill() {
-    this->SetHealthyGroup();
-    this->Run(kSettled);
+  /// Kills the primary of a healthy group and runs until the fence requests are
+  /// sent.
+  void KillPrimaryAndAwaitFences() {
+    this->SetUpHealthyGroup();
+    this->Run(kStabilizationTime);
     this->down.insert(a);
     this->RunUntil([this] { return !this->fences.empty(); });
   }
 
   static constexpr milliseconds kStep{10};
-  static constexpr milliseconds kSettled{1000};
-  static constexpr milliseconds kLimit{10000};
+  static constexpr milliseconds kStabilizationTime{1000};
+  static constexpr milliseconds kRunLimit{10000};
 
   const EndpointId a{"a"};
   const EndpointId b{"b"};
   const EndpointId c{"c"};
   common::SteadyTime now{std::chrono::hours(1)};
   std::map<EndpointId, EndpointStatus> statuses;
-  /// Refuse connections at once.
+  /// Endpoints that refuse connections at once.
   std::set<EndpointId> down;
-  /// Answer nothing.
+  /// Endpoints that do not respond.
   std::set<EndpointId> silent;
   std::optional<FailoverCoordinator> coordinator;
   std::vector<SendFence> fences;
@@ -124,9 +126,9 @@
   std::vector<AnnouncePrimary> announced;
 };
 
-// Guards against failovers that nothing made necessary.
-TEST_F(FailoverCoordinatorTest, HealthyGroup_LongRun_IsLeftAlone) {
-  this->SetHealthyGroup();
+// Guards against failovers without a failure.
+TEST_F(FailoverCoordinatorTest, HealthyGroup_LongRun_StartsNoFailover) {
+  this->SetUpHealthyGroup();
   this->Run(milliseconds(5000));
   EXPECT_TRUE(this->fences.empty());
   EXPECT_TRUE(this->follows.empty());
@@ -134,8 +136,8 @@
   EXPECT_EQ(this->coordinator->Primary(), (KnownPrimary{this->a, 1}));
 }
 
-// Guards against a group that stays without a primary because none was ever
-// seen.
+// Guards against a group that stays without a primary because no primary was
+// ever observed.
 TEST_F(FailoverCoordinatorTest, OnlyReplicas_Start_FencesAllAtFirstTerm) {
   for (const EndpointId& id : {this->a, this->b, this->c}) {
     this->SetStatus(id, 0, 0, EndpointRole::kReplica, {});
@@ -145,11 +147,12 @@
   EXPECT_EQ(this->fences.front().term, 1U);
 }
 
-// Guards against detection that exceeds the failover gap's target: polls are
-// refused at once after a kill and time out after an isolation.
-TEST_F(FailoverCoordinatorTest, PrimaryLost_Detection_TakesThreeMisses) {
-  this->SetHealthyGroup();
-  this->Run(kSettled);
+// Guards against detection that takes longer than the failover gap allows.
+// Polls are refused at once after a kill and time out after a network
+// isolation.
+TEST_F(FailoverCoordinatorTest, PrimaryLost_Detection_TakesThreeMissedPolls) {
+  this->SetUpHealthyGroup();
+  this->Run(kStabilizationTime);
   this->down.insert(this->a);
   this->Send(StatusFailed{this->a, std::nullopt, FailureKind::kRefused});
   const auto fenced = [this] { return !this->fences.empty(); };
@@ -158,7 +161,7 @@
   this->Create(0);
   this->fences.clear();
   this->down.clear();
-  this->Run(kSettled);
+  this->Run(kStabilizationTime);
   this->silent.insert(this->a);
   EXPECT_LE(this->RunUntil(fenced), milliseconds(1000));
 }
@@ -166,8 +169,8 @@
 // Guards against daemons that all start a round at the same moment.
 TEST_F(FailoverCoordinatorTest, HigherRank_PrimaryKilled_WaitsLonger) {
   this->Create(2);
-  this->SetHealthyGroup();
-  this->Run(kSettled);
+  this->SetUpHealthyGroup();
+  this->Run(kStabilizationTime);
   this->down.insert(this->a);
   const milliseconds waited =
       this->RunUntil([this] { return !this->fences.empty(); });
@@ -175,10 +178,10 @@
   EXPECT_LE(waited, milliseconds(1000));
 }
 
-// Guards against the loss of acknowledged writes through a promotion that
-// ignores a granted log, or counts a fence of another proposer or term.
+// Guards against the loss of acknowledged writes by a promotion that ignores a
+// granted log or counts a grant for another proposer or term.
 TEST_F(FailoverCoordinatorTest, Majority_Granted_PromotesMostAdvanced) {
-  this->StartRoundAfterKill();
+  this->KillPrimaryAndAwaitFences();
   FenceReply foreign = this->Granted(this->b, {1, 8});
   foreign.proposer = "p2";
   this->Send(foreign);
@@ -198,9 +201,10 @@
   EXPECT_EQ(this->promotes.front().term, this->fences.front().term);
 }
 
-// Guards against two primaries of one term after a lost promote answer.
-TEST_F(FailoverCoordinatorTest, PromoteAnswerLost_NotTaken_UsesHigherTerm) {
-  this->StartRoundAfterKill();
+// Guards against two primaries of one term after the reply to a promote request
+// was lost.
+TEST_F(FailoverCoordinatorTest, PromoteReplyLost_NotApplied_UsesHigherTerm) {
+  this->KillPrimaryAndAwaitFences();
   this->Send(this->Granted(this->c, {1, 7}));
   this->Send(this->Granted(this->b, {1, 8}));
   ASSERT_EQ(this->promotes.size(), 1U);
@@ -213,10 +217,10 @@
   EXPECT_GT(this->fences.front().term, first);
 }
 
-// Guards against a second promotion when the first one took effect and only
-// its answer was lost.
-TEST_F(FailoverCoordinatorTest, PromoteAnswerLost_Taken_LearnsFromStatus) {
-  this->StartRoundAfterKill();
+// Guards against a second promotion when the first one took effect and only its
+// reply was lost.
+TEST_F(FailoverCoordinatorTest, PromoteReplyLost_Applied_LearnsFromStatus) {
+  this->KillPrimaryAndAwaitFences();
   this->Send(this->Granted(this->c, {1, 7}));
   this->Send(this->Granted(this->b, {1, 8}));
   ASSERT_EQ(this->promotes.size(), 1U);
@@ -233,10 +237,10 @@
   EXPECT_EQ(this->follows.front().primary, this->b);
 }
 
-// Guards against a returning old primary that stays outside of the group when
+// Guards against a restarted former primary that stays outside the group when
 // the first follow request is lost.
 TEST_F(FailoverCoordinatorTest, OldPrimaryReturns_FollowLost_IsRepeated) {
-  this->SetHealthyGroup();
+  this->SetUpHealthyGroup();
   this->SetStatus(this->b, 2, 2, EndpointRole::kPrimary, {2, 9});
   this->SetStatus(this->c, 2, 2, EndpointRole::kReplica, {2, 9});
   this->Run(milliseconds(50));
@@ -247,24 +251,24 @@
   ASSERT_EQ(this->follows.size(), 2U);
   this->SetStatus(this->a, 2, 2, EndpointRole::kReplica, {2, 9});
   this->Send(FollowReply{this->a, this->follows[1].request, 2, true});
-  this->Run(kSettled);
+  this->Run(kStabilizationTime);
   EXPECT_EQ(this->follows.size(), 2U);
 }
 
-// Guards against a resumed coordinator that acts on what it knew before its
-// pause, such as a majority that was overtaken.
+// Guards against a coordinator that, after a pause, acts on outdated knowledge,
+// such as a majority that was overtaken.
 TEST_F(FailoverCoordinatorTest, PausedRound_LateGrants_PromoteNothing) {
-  this->StartRoundAfterKill();
+  this->KillPrimaryAndAwaitFences();
   this->Send(this->Granted(this->c, {1, 7}));
   this->now += std::chrono::seconds(2);
   this->Send(this->Granted(this->b, {1, 8}));
   EXPECT_TRUE(this->promotes.empty());
 }
 
-// Guards against two daemons that overtake each other without end: a higher
-// fence makes this one give way for a bounded time.
-TEST_F(FailoverCoordinatorTest, LostRace_Retry_IsDelayedAndHigher) {
-  this->StartRoundAfterKill();
+// Guards against two daemons that overtake each other indefinitely: a higher
+// fence makes this one back off for a bounded time.
+TEST_F(FailoverCoordinatorTest, FencedByOther_Retry_IsDelayedWithHigherTerm) {
+  this->KillPrimaryAndAwaitFences();
   FenceReply denied = this->Granted(this->b, {1, 8});
   denied.granted = false;
   denied.fence = 7;
@@ -279,11 +283,12 @@
   EXPECT_GT(this->fences.front().term, 7U);
 }
 
-// Guards against a group that can't confirm writes although its primary
-// answers: an abandoned round has fenced a replica out for good.
+// Guards against a group that cannot confirm writes although its primary
+// responds, because an abandoned round has fenced a replica above the primary's
+// term.
 TEST_F(FailoverCoordinatorTest, ReplicaFencedAbove_Persists_IsRepaired) {
-  this->SetHealthyGroup();
-  this->Run(kSettled);
+  this->SetUpHealthyGroup();
+  this->Run(kStabilizationTime);
   this->SetStatus(this->b, 1, 5, EndpointRole::kReplica, {1, 8});
   const milliseconds waited =
       this->RunUntil([this] { return !this->fences.empty(); });
@@ -291,11 +296,11 @@
   EXPECT_LE(waited, milliseconds(2000));
 }
 
-// Guards against fencing the only reachable database, which would lock it out
-// of the group that the others may still form.
+// Guards against fencing the only reachable database, which would exclude it
+// from the group that the others may still form.
 TEST_F(FailoverCoordinatorTest, OneReachable_PrimaryLost_FencesNothing) {
-  this->SetHealthyGroup();
-  this->Run(kSettled);
+  this->SetUpHealthyGroup();
+  this->Run(kStabilizationTime);
   this->down = {this->a, this->b};
   this->Run(milliseconds(5000));
   EXPECT_TRUE(this->fences.empty());
--- a/Source/UnitTests/Core/Process/failover_simulation.h
+++ b/Source/UnitTests/Core/Process/failover_simulator.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATION_H_
-#define CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATION_H_
+#ifndef CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATOR_H_
+#define CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATOR_H_
 
 #include <algorithm>
 #include <array>
@@ -18,9 +18,10 @@
 
 namespace camphorferry::process {
 
-/// Three databases and three daemons on a simulated network in virtual time.
-/// Records the first violation of an invariant.
-class FailoverSimulation {
+/// Deterministic simulator of three databases and three daemons on an
+/// unreliable network in virtual time. It records the first violation of an
+/// invariant.
+class FailoverSimulator {
  public:
   static constexpr int kDatabases = 3;
   static constexpr int kDaemons = 3;
@@ -34,7 +35,7 @@
     unsigned seed = 1;
   };
 
-  explicit FailoverSimulation(const Options& options)
+  explicit FailoverSimulator(const Options& options)
       : options(options), random(options.seed) {
     for (int i = 0; i < kDatabases; ++i) {
       this->databases.emplace_back(std::to_string(i));
@@ -44,7 +45,7 @@
       } else {
         this->databases[i].Follow(1, "0");
       }
-      this->Observe(i);
+      this->RecordPromotion(i);
     }
     for (int i = 0; i < kDaemons; ++i) this->RestartDaemon(i);
   }
@@ -57,11 +58,13 @@
     }
   }
 
-  /// Starts a write of a new record through a daemon. It adds 1, so that a
-  /// write that ran twice shows.
-  void Write(int daemon) { this->Attempt(daemon, ++this->last_key, kAttempts); }
+  /// Starts a write of a new record through a daemon. The write adds 1, so that
+  /// a duplicated execution is detected.
+  void Write(int daemon) {
+    this->Attempt(daemon, ++this->last_key, kMaxAttempts);
+  }
 
-  /// Reads the record acknowledged last through a daemon.
+  /// Reads the last acknowledged record through a daemon.
   void Read(int daemon) {
     if (!this->acknowledged.empty()) this->Attempt(daemon, this->last_acked, 0);
   }
@@ -70,7 +73,7 @@
     Daemon& restarted = this->daemons[daemon];
     ++restarted.incarnation;
     restarted.paused = false;
-    restarted.inbox.clear();
+    restarted.deferred.clear();
     restarted.coordinator.emplace(
         AllEndpoints(),
         std::to_string(daemon) + "-" + std::to_string(restarted.incarnation),
@@ -81,56 +84,56 @@
     this->daemons[daemon].coordinator->SetRank(rank);
   }
 
-  /// Stops a daemon; what it has sent but not yet delivered leaves it only
-  /// after it is resumed.
+  /// Pauses a daemon. Messages that it has sent but that are not yet delivered
+  /// leave it only after it is resumed.
   void Pause(int daemon) { this->daemons[daemon].paused = true; }
 
   void Resume(int daemon) {
     Daemon& resumed = this->daemons[daemon];
     if (!std::exchange(resumed.paused, false)) return;
-    for (const auto& event : std::exchange(resumed.inbox, {})) event();
+    for (const auto& event : std::exchange(resumed.deferred, {})) event();
   }
 
   void CutLink(int daemon, int database, bool cut) {
     this->links_cut[{kDatabases + daemon, database}] = cut;
   }
   void CutDatabase(int database, bool cut) { this->cut[database] = cut; }
-  /// A stopped database refuses connections.
+  /// Stops or restarts a database. A stopped database refuses connections.
   void StopDatabase(int database, bool stop) { this->down[database] = stop; }
   void StopReplication(int database, bool stop) {
-    this->unreplicated[database] = stop;
+    this->replication_stopped[database] = stop;
   }
 
   void Drop(int index) {
-    Message* message = this->Pick(index);
+    Message* message = this->PickMessage(index);
     if (message != nullptr) message->deliver = [] {};
   }
   void Duplicate(int index, common::Duration delay) {
-    Message* message = this->Pick(index);
+    Message* message = this->PickMessage(index);
     if (message == nullptr) return;
     Message copy = *message;
-    copy.due += delay;
+    copy.delivery_time += delay;
     this->messages.push_back(std::move(copy));
   }
   void Delay(int index, common::Duration delay) {
-    Message* message = this->Pick(index);
-    if (message != nullptr) message->due += delay;
+    Message* message = this->PickMessage(index);
+    if (message != nullptr) message->delivery_time += delay;
   }
 
-  /// Ends all faults except that one database may stay cut off.
+  /// Ends all faults, except that one database may stay disconnected.
   void Heal(std::optional<int> still_cut) {
     this->links_cut.clear();
     for (int i = 0; i < kDatabases; ++i) {
       this->cut[i] = still_cut == i;
       this->down[i] = false;
-      this->unreplicated[i] = false;
+      this->replication_stopped[i] = false;
     }
     for (int i = 0; i < kDaemons; ++i) this->Resume(i);
   }
 
   /// Runs until a new write is acknowledged and all reachable databases have
-  /// the same log; false if that takes longer than the limit.
-  bool Settle(common::Duration limit) {
+  /// the same log. Returns false if that takes longer than the limit.
+  bool WaitForConvergence(common::Duration limit) {
     const common::SteadyTime start = this->now;
     const std::size_t before = this->acknowledged.size();
     this->Write(0);
@@ -144,7 +147,8 @@
     return true;
   }
 
-  /// Checks that the present primary holds every acknowledged write once.
+  /// Checks that the current primary holds every acknowledged write exactly
+  /// once.
   void CheckWrites() {
     const std::optional<int> primary = this->CurrentPrimary();
     if (!primary) return this->Fail("no primary");
@@ -162,7 +166,7 @@
   common::Term HighestPromoted() const { return this->highest_promoted; }
   common::SteadyTime Now() const { return this->now; }
 
-  /// The unfenced primary of the highest term.
+  /// The reachable, unfenced primary with the highest term.
   std::optional<int> CurrentPrimary() const {
     std::optional<int> found;
     common::Term highest = 0;
@@ -178,16 +182,17 @@
   }
 
  private:
-  /// Times that a client sends a write again after an outcome other than done.
-  static constexpr int kAttempts = 5;
+  /// Maximum number of times that a client sends a write whose outcome is not
+  /// done.
+  static constexpr int kMaxAttempts = 5;
   static constexpr std::chrono::milliseconds kStatementDeadline{1000};
-  static constexpr std::chrono::milliseconds kPullTimeout{100};
+  static constexpr std::chrono::milliseconds kReplicationTimeout{100};
 
   struct Message {
-    common::SteadyTime due;
+    common::SteadyTime delivery_time;
     int from = 0;
     int to = 0;
-    /// Timers of a process are not subject to the network's faults.
+    /// True for timers of a process, which are not subject to network faults.
     bool timer = false;
     std::function<void()> deliver;
   };
@@ -196,20 +201,20 @@
     std::optional<FailoverCoordinator> coordinator;
     int incarnation = 0;
     bool paused = false;
-    std::vector<std::function<void()>> inbox;
+    std::vector<std::function<void()>> deferred;
   };
 
-  /// One execution of a statement by a daemon.
+  /// One execution of a client's statement through a daemon.
   struct Statement {
     int daemon = 0;
     int incarnation = 0;
     int key = 0;
     bool is_read = false;
-    int retries = 0;
+    int attempts_left = 0;
     bool finished = false;
-    std::optional<AcknowledgementTracker> rule;
+    std::optional<AcknowledgementTracker> acks;
     common::Term term = 0;
-    /// Highest term that any database was promoted for before the execution.
+    /// Highest term for which any database was promoted before the execution.
     common::Term promoted_before = 0;
     int value = 0;
   };
@@ -232,7 +237,7 @@
     if (this->violation.empty()) this->violation = what;
   }
 
-  bool Blocked(int from, int to) const {
+  bool IsBlocked(int from, int to) const {
     const auto cut_off = [this](int node) {
       return node < kDatabases && (this->cut[node] || this->down[node]);
     };
@@ -255,7 +260,7 @@
         {this->now + delay, node, node, true, std::move(expire)});
   }
 
-  Message* Pick(int index) {
+  Message* PickMessage(int index) {
     std::vector<Message*> candidates;
     for (Message& message : this->messages) {
       if (!message.timer) candidates.push_back(&message);
@@ -268,10 +273,10 @@
       const auto next =
           std::min_element(this->messages.begin(), this->messages.end(),
                            [](const Message& left, const Message& right) {
-                             return left.due < right.due;
+                             return left.delivery_time < right.delivery_time;
                            });
-      if (next == this->messages.end() || next->due > end) break;
-      this->now = std::max(this->now, next->due);
+      if (next == this->messages.end() || next->delivery_time > end) break;
+      this->now = std::max(this->now, next->delivery_time);
       const Message message = std::move(*next);
       this->messages.erase(next);
       this->Deliver(message);
@@ -282,31 +287,32 @@
   void Deliver(const Message& message) {
     const int sender = message.from - kDatabases;
     if (!message.timer && sender >= 0 && this->daemons[sender].paused) {
-      this->daemons[sender].inbox.push_back([this, message] {
+      this->daemons[sender].deferred.push_back([this, message] {
         this->Send(message.from, message.to, message.deliver);
       });
       return;
     }
-    if (!message.timer && this->Blocked(message.from, message.to)) return;
+    if (!message.timer && this->IsBlocked(message.from, message.to)) return;
     message.deliver();
   }
 
-  /// Runs an event at a daemon unless that process was replaced.
-  void AtDaemon(int daemon, int incarnation,
-                const std::function<void()>& event) {
+  /// Runs an event at a daemon, unless that run of the daemon has ended.
+  void RunAtDaemon(int daemon, int incarnation,
+                   const std::function<void()>& event) {
     Daemon& target = this->daemons[daemon];
     if (target.incarnation != incarnation) return;
     if (target.paused) {
-      target.inbox.push_back([this, daemon, incarnation, event] {
-        this->AtDaemon(daemon, incarnation, event);
+      target.deferred.push_back([this, daemon, incarnation, event] {
+        this->RunAtDaemon(daemon, incarnation, event);
       });
       return;
     }
     event();
   }
 
-  /// Sends a request to a database. Serve runs there and returns what the
-  /// answer does at the daemon; an answer after the timeout still arrives.
+  /// Sends a request to a database. `serve` runs at the database and returns
+  /// the handler of the response at the daemon. A response after the timeout
+  /// still arrives.
   void Request(int daemon, int database,
                const std::function<std::function<void()>()>& serve,
                const std::function<void(FailureKind)>& failed,
@@ -315,15 +321,15 @@
     const auto answered = std::make_shared<bool>(false);
     const int node = kDatabases + daemon;
     const auto fail = [=, this](FailureKind kind) {
-      this->AtDaemon(daemon, incarnation, [=] {
+      this->RunAtDaemon(daemon, incarnation, [=] {
         if (!std::exchange(*answered, true)) failed(kind);
       });
     };
     this->Send(node, database, [=, this] {
       const std::function<void()> answer = serve();
-      this->Observe(database);
+      this->RecordPromotion(database);
       this->Send(database, node, [=, this] {
-        this->AtDaemon(daemon, incarnation, [=] {
+        this->RunAtDaemon(daemon, incarnation, [=] {
           *answered = true;
           answer();
         });
@@ -336,8 +342,9 @@
     this->SetTimer(daemon, timeout, [=] { fail(FailureKind::kTimedOut); });
   }
 
-  /// Records a promotion.
-  void Observe(int database) {
+  /// Records a promotion of a database and checks that each term has one
+  /// primary.
+  void RecordPromotion(int database) {
     const standins::DatabaseStatus status = this->StatusOf(database);
     if (status.role != standins::DatabaseRole::kPrimary) return;
     this->promoted[status.term].insert(database);
@@ -348,26 +355,27 @@
   }
 
   void Tick() {
-    for (int i = 0; i < kDatabases; ++i) this->Pull(i);
+    for (int i = 0; i < kDatabases; ++i) this->RunReplication(i);
     for (int i = 0; i < kDaemons; ++i) {
       if (!this->daemons[i].paused) this->Notify(i, FailoverTick{});
     }
     for (const auto& statement : this->statements) {
-      if (!statement->rule || this->daemons[statement->daemon].paused) continue;
-      this->Carry(statement,
-                  statement->rule->Handle(AcknowledgementTick{}, this->now));
+      if (!statement->acks || this->daemons[statement->daemon].paused) continue;
+      this->PerformDecision(
+          statement, statement->acks->Handle(AcknowledgementTick{}, this->now));
     }
     std::erase_if(this->statements,
                   [](const auto& statement) { return statement->finished; });
   }
 
-  void Pull(int replica) {
-    if (this->unreplicated[replica] || this->now < this->next_pull[replica]) {
+  void RunReplication(int replica) {
+    if (this->replication_stopped[replica] ||
+        this->now < this->next_replication[replica]) {
       return;
     }
     const std::string source = this->databases[replica].PrimaryAddress();
     if (source.empty()) return;
-    this->next_pull[replica] = this->now + kPullTimeout;
+    this->next_replication[replica] = this->now + kReplicationTimeout;
     const int primary = std::stoi(source);
     const auto request = this->databases[replica].NextPull();
     const common::SteadyTime sent = this->now;
@@ -375,7 +383,7 @@
       const auto result = this->databases[primary].Replicate(request);
       this->Send(primary, replica, [=, this] {
         this->databases[replica].ApplyPull(request, result, sent);
-        this->next_pull[replica] = this->now;
+        this->next_replication[replica] = this->now;
       });
     });
   }
@@ -384,16 +392,18 @@
     const auto actions =
         this->daemons[daemon].coordinator->Handle(event, this->now);
     for (const FailoverAction& action : actions) {
-      std::visit([this, daemon](const auto& typed) { this->Do(daemon, typed); },
-                 action);
+      std::visit(
+          [this, daemon](const auto& typed) { this->Perform(daemon, typed); },
+          action);
     }
   }
 
-  /// Sends a coordinator's request. Serve runs at the database and returns the
-  /// event that its answer becomes.
-  void Ask(int daemon, const common::EndpointId& endpoint,
-           const std::function<FailoverEvent(standins::DatabaseCore&)>& serve,
-           const std::function<FailoverEvent(FailureKind)>& failed) {
+  /// Sends a coordinator's request. `serve` runs at the database and returns
+  /// the event for its response.
+  void SendControlRequest(
+      int daemon, const common::EndpointId& endpoint,
+      const std::function<FailoverEvent(standins::DatabaseCore&)>& serve,
+      const std::function<FailoverEvent(FailureKind)>& failed) {
     const int index = IndexOf(endpoint);
     this->Request(
         daemon, index,
@@ -405,8 +415,8 @@
         kStatusTimeout);
   }
 
-  void Do(int daemon, const SendStatusPoll& action) {
-    this->Ask(
+  void Perform(int daemon, const SendStatusPoll& action) {
+    this->SendControlRequest(
         daemon, action.endpoint,
         [=, this](standins::DatabaseCore& database) {
           const auto seen = database.Status(this->now);
@@ -423,9 +433,9 @@
         });
   }
 
-  void Do(int daemon, const SendFence& action) {
+  void Perform(int daemon, const SendFence& action) {
     const std::string proposer = this->daemons[daemon].coordinator->Proposer();
-    this->Ask(
+    this->SendControlRequest(
         daemon, action.endpoint,
         [=](standins::DatabaseCore& database) {
           const auto result = database.Fence(action.term, proposer);
@@ -437,9 +447,9 @@
         });
   }
 
-  void Do(int daemon, const SendPromote& action) {
+  void Perform(int daemon, const SendPromote& action) {
     const std::string proposer = this->daemons[daemon].coordinator->Proposer();
-    this->Ask(
+    this->SendControlRequest(
         daemon, action.endpoint,
         [=](standins::DatabaseCore& database) {
           const bool accepted = database.Promote(action.term, proposer);
@@ -451,8 +461,8 @@
         });
   }
 
-  void Do(int daemon, const SendFollow& action) {
-    this->Ask(
+  void Perform(int daemon, const SendFollow& action) {
+    this->SendControlRequest(
         daemon, action.endpoint,
         [=](standins::DatabaseCore& database) {
           const bool accepted =
@@ -465,19 +475,20 @@
         });
   }
 
-  void Do(int, const AnnouncePrimary&) {}
+  void Perform(int, const AnnouncePrimary&) {}
 
-  /// Retries are 0 for a read, which has to see the acknowledged record.
-  void Attempt(int daemon, int key, int retries) {
+  /// Makes one attempt at a statement. `attempts_left` is 0 for a read, which
+  /// must return the acknowledged record.
+  void Attempt(int daemon, int key, int attempts_left) {
     this->last_write = this->now;
     auto statement = std::make_shared<Statement>();
     statement->daemon = daemon;
     statement->incarnation = this->daemons[daemon].incarnation;
     statement->key = key;
-    statement->is_read = retries == 0;
-    statement->retries = retries;
+    statement->is_read = attempts_left == 0;
+    statement->attempts_left = attempts_left;
     this->SetTimer(daemon, kStatementDeadline,
-                   [=, this] { this->Retry(statement); });
+                   [=, this] { this->RetryStatement(statement); });
     if (this->daemons[daemon].paused) return;
     const auto known = this->daemons[daemon].coordinator->Primary();
     if (!known) return;
@@ -493,7 +504,7 @@
             if (done == nullptr || statement->finished) return;
             if (done->role != standins::DatabaseRole::kPrimary) return;
             statement->promoted_before = promoted_before;
-            this->Executed(statement, index, *done);
+            this->OnExecuted(statement, index, *done);
           };
         },
         [](FailureKind) {}, kStatementDeadline);
@@ -514,50 +525,54 @@
     return request;
   }
 
-  void Executed(const std::shared_ptr<Statement>& statement, int index,
-                const standins::ExecuteDone& done) {
-    if (statement->rule) return;
+  void OnExecuted(const std::shared_ptr<Statement>& statement, int index,
+                  const standins::ExecuteDone& done) {
+    if (statement->acks) return;
     statement->term = done.term;
     statement->value = done.results.at(0).is_number() ? 1 : 0;
-    statement->rule.emplace(
+    statement->acks.emplace(
         ExecutedStatement{EndpointOf(index), done.term, done.position},
         AllEndpoints(), this->now + kStatementDeadline / 2,
         this->options.acknowledgement);
     this->statements.push_back(statement);
-    this->Carry(statement, statement->rule->Start(this->now));
+    this->PerformDecision(statement, statement->acks->Start(this->now));
   }
 
-  void Carry(const std::shared_ptr<Statement>& statement,
-             const AcknowledgementDecision& decision) {
+  void PerformDecision(const std::shared_ptr<Statement>& statement,
+                       const AcknowledgementDecision& decision) {
     if (statement->finished) return;
     if (std::holds_alternative<Acknowledge>(decision)) this->Finish(*statement);
-    const auto* ask = std::get_if<RequestConfirmation>(&decision);
-    if (ask == nullptr) return;
-    const RequestConfirmation asked = *ask;
+    const auto* requested = std::get_if<RequestConfirmation>(&decision);
+    if (requested == nullptr) return;
+    const RequestConfirmation confirm = *requested;
     this->Request(
-        statement->daemon, IndexOf(asked.endpoint),
+        statement->daemon, IndexOf(confirm.endpoint),
         [=, this]() -> std::function<void()> {
           const auto result =
-              this->databases[IndexOf(asked.endpoint)].Confirm(asked.position);
+              this->databases[IndexOf(confirm.endpoint)].Confirm(
+                  confirm.position);
           return [=, this] {
-            const ConfirmReply reply{asked.endpoint, result.held, result.fence,
-                                     result.position};
-            this->Carry(statement, statement->rule->Handle(reply, this->now));
+            const ConfirmReply reply{confirm.endpoint, result.held,
+                                     result.fence, result.position};
+            this->PerformDecision(statement,
+                                  statement->acks->Handle(reply, this->now));
           };
         },
         [=, this](FailureKind) {
-          this->Carry(statement, statement->rule->Handle(
-                                     ConfirmFailed{asked.endpoint}, this->now));
+          this->PerformDecision(
+              statement, statement->acks->Handle(
+                             ConfirmFailed{confirm.endpoint}, this->now));
         },
         kStatusTimeout);
   }
 
-  /// The statement's result goes to the client.
+  /// Records that the statement's result was sent to the client.
   void Finish(Statement& statement) {
     statement.finished = true;
     // A confirmation may arrive after a higher term has begun to acknowledge.
-    // That is harmless if the execution came before the promotion: the chosen
-    // log then has the entry. An execution after it must never count.
+    // That is harmless if the execution preceded the promotion, because the
+    // chosen log then contains the entry. A statement executed after the
+    // promotion must never be acknowledged.
     if (statement.promoted_before > statement.term) {
       this->Fail("acknowledged under superseded term " +
                  std::to_string(statement.term));
@@ -570,12 +585,13 @@
     this->last_acked = statement.key;
   }
 
-  /// The client repeats a write whose outcome isn't done at another daemon.
-  void Retry(const std::shared_ptr<Statement>& statement) {
+  /// The client repeats a write whose outcome is not done through another
+  /// daemon.
+  void RetryStatement(const std::shared_ptr<Statement>& statement) {
     if (std::exchange(statement->finished, true)) return;
-    if (statement->retries <= 1) return;
+    if (statement->attempts_left <= 1) return;
     this->Attempt((statement->daemon + 1) % kDaemons, statement->key,
-                  statement->retries - 1);
+                  statement->attempts_left - 1);
   }
 
   bool Converged() const {
@@ -600,8 +616,8 @@
   std::vector<std::shared_ptr<Statement>> statements;
   std::array<bool, kDatabases> cut{};
   std::array<bool, kDatabases> down{};
-  std::array<bool, kDatabases> unreplicated{};
-  std::array<common::SteadyTime, kDatabases> next_pull{};
+  std::array<bool, kDatabases> replication_stopped{};
+  std::array<common::SteadyTime, kDatabases> next_replication{};
   std::map<std::pair<int, int>, bool> links_cut;
   std::map<common::Term, std::set<int>> promoted;
   common::Term highest_promoted = 0;
@@ -614,4 +630,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATION_H_
+#endif  // CAMPHORFERRY_UNITTESTS_CORE_PROCESS_FAILOVER_SIMULATOR_H_
--- a/Source/UnitTests/Core/Process/failover_stateful_test.cc
+++ b/Source/UnitTests/Core/Process/failover_stateful_test.cc
@@ -7,16 +7,17 @@
 #include <ostream>
 #include <string>
 
-#include "UnitTests/Core/Process/failover_simulation.h"
+#include "UnitTests/Core/Process/failover_simulator.h"
 
 namespace camphorferry::process {
 namespace {
 
 using std::chrono::milliseconds;
 
-/// After the faults end, this long covers detection, the rank delays of three
-/// coordinators, a lost race with its backoff, and the repair of a replica.
-constexpr common::Duration kSettleLimit = std::chrono::seconds(10);
+/// Covers, after the faults end, detection, the rank delays of three
+/// coordinators, an overtaken round with its backoff, and the repair of a
+/// replica.
+constexpr common::Duration kConvergenceTimeout = std::chrono::seconds(10);
 
 enum class StepKind {
   kRun,
@@ -41,12 +42,12 @@
   kHeal,
 };
 
-/// The databases and daemons are their own model: the oracle lives in the
-/// world, since messages in flight decide what may be observed.
+/// Empty: the simulation itself checks the invariants, since messages in flight
+/// determine what may be observed.
 struct Model {};
 
-/// One fault or client action, followed by some time.
-class Step : public rc::state::Command<Model, FailoverSimulation> {
+/// One fault or client action, followed by some simulated time.
+class Step : public rc::state::Command<Model, FailoverSimulator> {
  public:
   Step()
       : kind(*rc::gen::weightedElement<StepKind>({
@@ -76,11 +77,11 @@
         message(*rc::gen::inRange(0, 20)),
         time(*rc::gen::inRange(10, 1000)) {}
 
-  void run(const Model&, FailoverSimulation& world) const override {
-    this->Apply(world);
-    const bool long_step = this->kind == StepKind::kRun;
-    world.Run(milliseconds(long_step ? this->time : this->time / 10));
-    if (!world.Violation().empty()) RC_FAIL(world.Violation());
+  void run(const Model&, FailoverSimulator& simulator) const override {
+    this->Apply(simulator);
+    const bool full_length = this->kind == StepKind::kRun;
+    simulator.Run(milliseconds(full_length ? this->time : this->time / 10));
+    if (!simulator.Violation().empty()) RC_FAIL(simulator.Violation());
   }
 
   void show(std::ostream& os) const override {
@@ -90,49 +91,49 @@
   }
 
  private:
-  void Apply(FailoverSimulation& world) const {
+  void Apply(FailoverSimulator& simulator) const {
     switch (this->kind) {
       case StepKind::kRun:
         return;
       case StepKind::kWrite:
-        return world.Write(this->first);
+        return simulator.Write(this->first);
       case StepKind::kRead:
-        return world.Read(this->first);
+        return simulator.Read(this->first);
       case StepKind::kDrop:
-        return world.Drop(this->message);
+        return simulator.Drop(this->message);
       case StepKind::kDuplicate:
-        return world.Duplicate(this->message, milliseconds(this->time));
+        return simulator.Duplicate(this->message, milliseconds(this->time));
       case StepKind::kDelay:
-        return world.Delay(this->message, milliseconds(this->time * 4));
+        return simulator.Delay(this->message, milliseconds(this->time * 4));
       case StepKind::kPauseDaemon:
-        return world.Pause(this->first);
+        return simulator.Pause(this->first);
       case StepKind::kResumeDaemon:
-        return world.Resume(this->first);
+        return simulator.Resume(this->first);
       case StepKind::kRestartDaemon:
-        return world.RestartDaemon(this->first);
+        return simulator.RestartDaemon(this->first);
       case StepKind::kSetRank:
-        return world.SetRank(this->first, this->second);
+        return simulator.SetRank(this->first, this->second);
       case StepKind::kCutLink:
       case StepKind::kRestoreLink:
-        return world.CutLink(this->first, this->second,
-                             this->kind == StepKind::kCutLink);
+        return simulator.CutLink(this->first, this->second,
+                                 this->kind == StepKind::kCutLink);
       case StepKind::kCutDatabase:
       case StepKind::kRestoreDatabase:
-        return world.CutDatabase(this->first,
-                                 this->kind == StepKind::kCutDatabase);
+        return simulator.CutDatabase(this->first,
+                                     this->kind == StepKind::kCutDatabase);
       case StepKind::kStopDatabase:
       case StepKind::kStartDatabase:
-        return world.StopDatabase(this->first,
-                                  this->kind == StepKind::kStopDatabase);
+        return simulator.StopDatabase(this->first,
+                                      this->kind == StepKind::kStopDatabase);
       case StepKind::kStopPrimary:
-        return world.StopDatabase(world.CurrentPrimary().value_or(this->first),
-                                  true);
+        return simulator.StopDatabase(
+            simulator.CurrentPrimary().value_or(this->first), true);
       case StepKind::kStopReplication:
       case StepKind::kStartReplication:
-        return world.StopReplication(this->first,
-                                     this->kind == StepKind::kStopReplication);
+        return simulator.StopReplication(
+            this->first, this->kind == StepKind::kStopReplication);
       case StepKind::kHeal:
-        return world.Heal(std::nullopt);
+        return simulator.Heal(std::nullopt);
     }
   }
 
@@ -143,8 +144,8 @@
   int time;
 };
 
-FailoverSimulation::Options AnyOptions() {
-  FailoverSimulation::Options options;
+FailoverSimulator::Options AnyOptions() {
+  FailoverSimulator::Options options;
   options.start_with_primary = *rc::gen::arbitrary<bool>();
   options.seed = *rc::gen::inRange(1U, 1000U);
   return options;
@@ -152,50 +153,52 @@
 
 // Guards against lost or duplicated acknowledged writes, stale reads of them,
 // two primaries of one term, acknowledgements by a superseded primary, and a
-// group that stays without a working primary although two databases can be
-// reached.
+// group that stays without a working primary although two databases are
+// reachable.
 RC_GTEST_PROP(FailoverStatefulTest, AnyFaults_Settle_KeepsAcknowledgedWrites,
               ()) {
-  FailoverSimulation world(AnyOptions());
-  rc::state::check(Model{}, world, rc::state::gen::execOneOfWithArgs<Step>());
-  const int choice = *rc::gen::inRange(0, 4);
-  world.Heal(choice < FailoverSimulation::kDatabases
-                 ? std::make_optional(choice)
-                 : std::nullopt);
-  const common::SteadyTime start = world.Now();
-  RC_ASSERT(world.Settle(kSettleLimit));
-  world.CheckWrites();
-  if (!world.Violation().empty()) RC_FAIL(world.Violation());
-  RC_CLASSIFY(world.HighestPromoted() > 2, "several failovers");
-  RC_CLASSIFY(world.Acknowledged() > 5, "many writes");
-  RC_CLASSIFY(world.Now() - start > std::chrono::seconds(3), "slow to settle");
+  FailoverSimulator simulator(AnyOptions());
+  rc::state::check(Model{}, simulator,
+                   rc::state::gen::execOneOfWithArgs<Step>());
+  const int disconnected = *rc::gen::inRange(0, 4);
+  simulator.Heal(disconnected < FailoverSimulator::kDatabases
+                     ? std::make_optional(disconnected)
+                     : std::nullopt);
+  const common::SteadyTime start = simulator.Now();
+  RC_ASSERT(simulator.WaitForConvergence(kConvergenceTimeout));
+  simulator.CheckWrites();
+  if (!simulator.Violation().empty()) RC_FAIL(simulator.Violation());
+  RC_CLASSIFY(simulator.HighestPromoted() > 2, "several failovers");
+  RC_CLASSIFY(simulator.Acknowledged() > 5, "many writes");
+  RC_CLASSIFY(simulator.Now() - start > std::chrono::seconds(3),
+              "slow to settle");
 }
 
 class FailoverScenarioTest : public testing::Test {
  protected:
-  /// Acknowledges writes while only one replica is up to date, kills the
-  /// primary and returns what the oracle says after the failover.
-  static std::string KillPrimary(FailoverSimulation::Options options,
+  /// Writes while at most one replica replicates, kills the primary and returns
+  /// the violation found after the failover.
+  static std::string KillPrimary(FailoverSimulator::Options options,
                                  bool replicate) {
-    FailoverSimulation world(options);
-    world.Run(milliseconds(500));
-    world.StopReplication(1, true);
-    world.StopReplication(2, !replicate);
-    world.Run(milliseconds(200));
+    FailoverSimulator simulator(options);
+    simulator.Run(milliseconds(500));
+    simulator.StopReplication(1, true);
+    simulator.StopReplication(2, !replicate);
+    simulator.Run(milliseconds(200));
     for (int i = 0; i < 5; ++i) {
-      world.Write(i % FailoverSimulation::kDaemons);
-      world.Run(milliseconds(100));
+      simulator.Write(i % FailoverSimulator::kDaemons);
+      simulator.Run(milliseconds(100));
     }
-    world.StopDatabase(0, true);
-    world.Run(std::chrono::seconds(3));
-    world.Heal(std::nullopt);
-    EXPECT_TRUE(world.Settle(kSettleLimit));
-    world.CheckWrites();
-    return world.Violation();
+    simulator.StopDatabase(0, true);
+    simulator.Run(std::chrono::seconds(3));
+    simulator.Heal(std::nullopt);
+    EXPECT_TRUE(simulator.WaitForConvergence(kConvergenceTimeout));
+    simulator.CheckWrites();
+    return simulator.Violation();
   }
 
-  /// Number of latency patterns in which the oracle reports a lost write.
-  static int CountLosses(FailoverSimulation::Options options, bool replicate) {
+  /// Number of latency patterns in which the simulation reports a lost write.
+  static int CountLosses(FailoverSimulator::Options options, bool replicate) {
     int losses = 0;
     for (options.seed = 1; options.seed <= 20; ++options.seed) {
       const std::string violation = KillPrimary(options, replicate);
@@ -205,45 +208,45 @@
   }
 };
 
-// Guards against an oracle that misses the loss of writes that only the dead
-// primary had.
+// Checks that the simulation detects the loss of writes that only the failed
+// primary held.
 TEST_F(FailoverScenarioTest, PrimaryAloneAcknowledges_Kill_LosesWrites) {
-  FailoverSimulation::Options options;
+  FailoverSimulator::Options options;
   EXPECT_EQ(CountLosses(options, false), 0);
   options.acknowledgement.require_replica = false;
   EXPECT_EQ(CountLosses(options, false), 20);
 }
 
-// Guards against an oracle that misses the promotion of a database that
-// lacks acknowledged writes.
+// Checks that the simulation detects the promotion of a database that lacks
+// acknowledged writes.
 TEST_F(FailoverScenarioTest, AnyFencedPromoted_Kill_LosesWrites) {
-  FailoverSimulation::Options options;
+  FailoverSimulator::Options options;
   EXPECT_EQ(CountLosses(options, true), 0);
   options.failover.promote_most_advanced = false;
   EXPECT_GT(CountLosses(options, true), 0);
 }
 
-// Guards against a second failure that finds no coordinator ready.
+// Guards against a coordinator that does not handle a second failure after a
+// failover.
 TEST_F(FailoverScenarioTest, PrimaryKilledTwice_Settle_PromotesTwice) {
-  FailoverSimulation world({});
+  FailoverSimulator simulator({});
   for (common::Term term = 2; term <= 3; ++term) {
-    world.Run(std::chrono::seconds(1));
-    world.StopDatabase(*world.CurrentPrimary(), true);
-    world.Run(std::chrono::seconds(2));
-    EXPECT_EQ(world.HighestPromoted(), term);
-    world.Heal(std::nullopt);
-    EXPECT_TRUE(world.Settle(kSettleLimit));
+    simulator.Run(std::chrono::seconds(1));
+    simulator.StopDatabase(*simulator.CurrentPrimary(), true);
+    simulator.Run(std::chrono::seconds(2));
+    EXPECT_EQ(simulator.HighestPromoted(), term);
+    simulator.Heal(std::nullopt);
+    EXPECT_TRUE(simulator.WaitForConvergence(kConvergenceTimeout));
   }
 }
 
-// Guards against daemons that each reach other databases and replace each
-// other's primary several times a second, which leaves no time for writes.
+// Guards against daemons that reach different databases and replace each
+// other's primary several times per second, which leaves no time for writes.
 TEST_F(FailoverScenarioTest, DisjointLinkCuts_LongRun_ChangesAreRare) {
-  FailoverSimulation world({});
-  for (int i = 0; i < FailoverSimulation::kDaemons; ++i)
-    world.CutLink(i, i, true);
-  world.Run(std::chrono::seconds(60));
-  EXPECT_LE(world.HighestPromoted(), 30U);
+  FailoverSimulator sim({});
+  for (int i = 0; i < FailoverSimulator::kDaemons; ++i) sim.CutLink(i, i, true);
+  sim.Run(std::chrono::seconds(60));
+  EXPECT_LE(sim.HighestPromoted(), 30U);
 }
 
 }  // namespace
--- a/Source/UnitTests/Core/Process/lender_selector_test.cc
+++ b/Source/UnitTests/Core/Process/lender_selector_test.cc
@@ -22,27 +22,29 @@
   const HostId second{"second"};
   const std::vector<HostId> peers{first, second};
   const RateLoan loan{1000, 1000, 1000, kLoanDuration};
-  LenderSelector choice;
+  LenderSelector selector;
 };
 
-// Guards against a borrower that asks one peer only.
-TEST_F(LenderSelectorTest, EmptyAnswers_Peers_TakeTurns) {
-  EXPECT_EQ(this->choice.Next(this->peers, kStart), this->first);
-  this->choice.OnAnswer(this->first, RateLoan{}, kStart);
-  EXPECT_EQ(this->choice.Next(this->peers, kStart + seconds(1)), this->second);
-  this->choice.OnAnswer(this->second, RateLoan{}, kStart);
-  EXPECT_EQ(this->choice.Next(this->peers, kStart + seconds(2)), this->first);
+// Guards against a borrower that asks only one peer.
+TEST_F(LenderSelectorTest, EmptyReplies_Select_RotatesThroughPeers) {
+  EXPECT_EQ(this->selector.Select(this->peers, kStart), this->first);
+  this->selector.OnLoanReply(this->first, RateLoan{}, kStart);
+  EXPECT_EQ(this->selector.Select(this->peers, kStart + seconds(1)),
+            this->second);
+  this->selector.OnLoanReply(this->second, RateLoan{}, kStart);
+  EXPECT_EQ(this->selector.Select(this->peers, kStart + seconds(2)),
+            this->first);
 }
 
-// Guards against requests to peers that have lent what they can.
-TEST_F(LenderSelectorTest, RunningLoan_Lender_IsLeftOutUntilItIsBack) {
-  this->choice.Next(this->peers, kStart);
-  this->choice.OnAnswer(this->first, this->loan, kStart);
-  this->choice.Next(this->peers, kStart);
-  this->choice.OnAnswer(this->second, this->loan, kStart + seconds(1));
-  const SteadyTime back = kStart + GrantorPeriod(kLoanDuration);
-  EXPECT_FALSE(this->choice.Next(this->peers, back - Duration(1)));
-  EXPECT_EQ(this->choice.Next(this->peers, back), this->first);
+// Guards against requests to peers that have already lent what they can.
+TEST_F(LenderSelectorTest, RunningLoan_Select_SkipsLenderUntilLoanEnds) {
+  this->selector.Select(this->peers, kStart);
+  this->selector.OnLoanReply(this->first, this->loan, kStart);
+  this->selector.Select(this->peers, kStart);
+  this->selector.OnLoanReply(this->second, this->loan, kStart + seconds(1));
+  const SteadyTime loan_end = kStart + GrantorPeriod(kLoanDuration);
+  EXPECT_FALSE(this->selector.Select(this->peers, loan_end - Duration(1)));
+  EXPECT_EQ(this->selector.Select(this->peers, loan_end), this->first);
 }
 
 }  // namespace
--- a/Source/UnitTests/Core/Process/local_rate_limiter_test.cc
+++ b/Source/UnitTests/Core/Process/local_rate_limiter_test.cc
@@ -25,26 +25,28 @@
 
 class LocalRateLimiterTest : public testing::Test {
  protected:
-  /// A share with some of four slots of 100 tokens/s and a burst of 40, full.
-  static LocalRateLimiter FullShare(std::uint32_t slots) {
-    LocalRateLimiter share({.rate = 100, .burst = 40, .total_slots = 4},
-                           kStart);
+  /// A limiter with some of four slots of a workspace with 100 tokens/s and a
+  /// burst of 40.
+  static LocalRateLimiter FullLimiter(std::uint32_t slots) {
+    LocalRateLimiter limiter({.rate = 100, .burst = 40, .total_slots = 4},
+                             kStart);
     for (RateSlotNumber slot = 0; slot < slots; ++slot) {
-      share.AddSlot(slot, kLeaseEnd, kStart);
+      limiter.AddSlot(slot, kLeaseEnd, kStart);
     }
-    return share;
+    return limiter;
   }
 
-  static int AdmittedOf(LocalRateLimiter& share, int requests, SteadyTime now) {
+  static int CountAdmitted(LocalRateLimiter& limiter, int requests,
+                           SteadyTime now) {
     int admitted = 0;
     for (int request = 0; request < requests; ++request) {
-      admitted += IsAdmitted(share.Admit(now)) ? 1 : 0;
+      admitted += IsAdmitted(limiter.Admit(now)) ? 1 : 0;
     }
     return admitted;
   }
 };
 
-// Guards against slots that together stand for more or less than the limit.
+// Guards against slots whose parts add up to more or less than the limit.
 RC_GTEST_PROP(PerSlotAmountTest, AnyAmount_AllParts_AddUpToTheAmount, ()) {
   const auto amount = *rc::gen::inRange<Millitokens>(0, 5'000'000'000);
   const auto total = *rc::gen::inRange<std::uint32_t>(1, 4000);
@@ -57,156 +59,161 @@
 }
 
 // Guards against two daemons that use one slot or loan at once because their
-// clocks differ by more than the 1% that the giver waits.
+// clocks differ by more than the 1% that the grantor waits.
 TEST_F(LocalRateLimiterTest,
-       ClocksOffInOppositeDirections_Giver_WaitsLongEnough) {
+       ClocksOffInOppositeDirections_GrantorPeriod_ExceedsHolderPeriod) {
   for (const Duration agreed : {kLoanDuration, kSlotLeaseDuration}) {
-    const double giver =
+    const double grantor =
         static_cast<double>(GrantorPeriod(agreed).count()) / 1.005;
-    const double user =
+    const double holder =
         static_cast<double>(HolderPeriod(agreed).count()) / 0.995;
-    EXPECT_GT(giver, user);
+    EXPECT_GT(grantor, holder);
   }
 }
 
-// Guards against a new holder that starts with tokens which the old one used.
+// Guards against a new slot holder that starts with tokens that the previous
+// one has used.
 TEST_F(LocalRateLimiterTest, NewSlot_Admit_IsRefusedUntilRefilled) {
-  LocalRateLimiter share = FullShare(1);
-  const Admission first = share.Admit(kStart);
+  LocalRateLimiter limiter = FullLimiter(1);
+  const Admission first = limiter.Admit(kStart);
   ASSERT_FALSE(IsAdmitted(first));
   const Duration wait = std::get<Refused>(first).retry_after;
-  EXPECT_FALSE(IsAdmitted(share.Admit(kStart + wait - Duration(1))));
-  EXPECT_TRUE(IsAdmitted(share.Admit(kStart + wait)));
+  EXPECT_FALSE(IsAdmitted(limiter.Admit(kStart + wait - Duration(1))));
+  EXPECT_TRUE(IsAdmitted(limiter.Admit(kStart + wait)));
 }
 
-// Guards against a paused holder that uses its slot after another took it.
+// Guards against a paused slot holder that uses its slot after another daemon
+// acquired it.
 TEST_F(LocalRateLimiterTest, PausedPastLeaseEnd_Admit_IsRefused) {
-  LocalRateLimiter share = FullShare(4);
-  EXPECT_TRUE(IsAdmitted(share.Admit(kLeaseEnd - Duration(1))));
-  EXPECT_FALSE(IsAdmitted(share.Admit(kLeaseEnd)));
-  share.RenewSlot(0, kLeaseEnd + hours(1), kLeaseEnd);
-  EXPECT_EQ(share.Capacity(kLeaseEnd), 0);
+  LocalRateLimiter limiter = FullLimiter(4);
+  EXPECT_TRUE(IsAdmitted(limiter.Admit(kLeaseEnd - Duration(1))));
+  EXPECT_FALSE(IsAdmitted(limiter.Admit(kLeaseEnd)));
+  limiter.RenewSlot(0, kLeaseEnd + hours(1), kLeaseEnd);
+  EXPECT_EQ(limiter.Capacity(kLeaseEnd), 0);
 }
 
-// Guards against lent tokens that the lender uses as well.
-TEST_F(LocalRateLimiterTest, LoanGiven_UntilItIsBack_IsDeducted) {
-  LocalRateLimiter share = FullShare(1);
+// Guards against lent tokens that the lender also uses.
+TEST_F(LocalRateLimiterTest, LoanGiven_UntilItsEnd_IsDeducted) {
+  LocalRateLimiter limiter = FullLimiter(1);
   const SteadyTime granted = kStart + seconds(10);
-  const RateLoan loan = share.Lend(1'000'000, granted);
+  const RateLoan loan = limiter.Lend(1'000'000, granted);
   EXPECT_EQ(loan, (RateLoan{25'000, 9'000, 9'000, kLoanDuration}));
-  EXPECT_EQ(share.Level(granted), 1000);
-  const SteadyTime back = granted + GrantorPeriod(kLoanDuration);
-  EXPECT_EQ(share.Rate(back - Duration(1)), 0);
-  EXPECT_EQ(share.Capacity(back - Duration(1)), 1000);
-  EXPECT_EQ(share.Rate(back), 25'000);
-  EXPECT_EQ(share.Level(back), 1000);
+  EXPECT_EQ(limiter.Level(granted), 1000);
+  const SteadyTime loan_end = granted + GrantorPeriod(kLoanDuration);
+  EXPECT_EQ(limiter.Rate(loan_end - Duration(1)), 0);
+  EXPECT_EQ(limiter.Capacity(loan_end - Duration(1)), 1000);
+  EXPECT_EQ(limiter.Rate(loan_end), 25'000);
+  EXPECT_EQ(limiter.Level(loan_end), 1000);
 }
 
-// Guards against a level that lender and borrower both use when the lender's
+// Guards against tokens that lender and borrower both use when the lender's
 // bucket is not full.
 TEST_F(LocalRateLimiterTest, BucketPartlyFull_Lend_DeductsTheLevel) {
-  LocalRateLimiter share = FullShare(1);
+  LocalRateLimiter limiter = FullLimiter(1);
   const SteadyTime now = kStart + seconds(10);
-  EXPECT_EQ(AdmittedOf(share, 6, now), 6);
-  const Millitokens before = share.Level(now);
-  const RateLoan loan = share.Lend(1500, now);
+  EXPECT_EQ(CountAdmitted(limiter, 6, now), 6);
+  const Millitokens before = limiter.Level(now);
+  const RateLoan loan = limiter.Lend(1500, now);
   EXPECT_GT(loan.level, 0);
-  EXPECT_EQ(share.Level(now), before - loan.level);
+  EXPECT_EQ(limiter.Level(now), before - loan.level);
 }
 
-// Guards against a loan that outlives the slot it came from.
-TEST_F(LocalRateLimiterTest, LeaseEndsBeforeTheLoanIsBack_Lend_GivesNothing) {
-  LocalRateLimiter share = FullShare(1);
+// Guards against a loan that lasts longer than the lease of the slot it came
+// from.
+TEST_F(LocalRateLimiterTest, LeaseEndsBeforeLoan_Lend_GivesNothing) {
+  LocalRateLimiter limiter = FullLimiter(1);
   EXPECT_TRUE(
-      share.Lend(1000, kLeaseEnd - GrantorPeriod(kLoanDuration) + Duration(1))
+      limiter.Lend(1000, kLeaseEnd - GrantorPeriod(kLoanDuration) + Duration(1))
           .Empty());
 }
 
-// Guards against a lender that refuses its own clients after lending.
-TEST_F(LocalRateLimiterTest, LenderWithDemand_Lend_KeepsWhatItsDemandNeeds) {
-  LocalRateLimiter share = FullShare(4);
+// Guards against a lender that refuses its own requests after lending.
+TEST_F(LocalRateLimiterTest, LenderWithDemand_Lend_ReservesOwnDemand) {
+  LocalRateLimiter limiter = FullLimiter(4);
   SteadyTime now = kStart + seconds(1);
   for (int request = 0; request < 100; ++request) {
     now += milliseconds(20);
-    EXPECT_TRUE(IsAdmitted(share.Admit(now)));
+    EXPECT_TRUE(IsAdmitted(limiter.Admit(now)));
   }
-  EXPECT_FALSE(share.Lend(10'000'000, now).Empty());
+  EXPECT_FALSE(limiter.Lend(10'000'000, now).Empty());
   for (int request = 0; request < 200; ++request) {
     now += milliseconds(20);
-    EXPECT_TRUE(IsAdmitted(share.Admit(now)));
+    EXPECT_TRUE(IsAdmitted(limiter.Admit(now)));
   }
 }
 
-// Guards against a loan counted twice, or past the time the lender waits.
-TEST_F(LocalRateLimiterTest, LoanAnswer_DuplicatedOrLate_BringsNothing) {
-  LocalRateLimiter share = FullShare(1);
-  EXPECT_EQ(AdmittedOf(share, 5, kStart), 0);
-  ASSERT_TRUE(share.NextBorrowRequest(kStart));
+// Guards against a loan that is counted twice, or after the lender reuses it.
+TEST_F(LocalRateLimiterTest, LoanReply_DuplicatedOrLate_IsIgnored) {
+  LocalRateLimiter limiter = FullLimiter(1);
+  EXPECT_EQ(CountAdmitted(limiter, 5, kStart), 0);
+  ASSERT_TRUE(limiter.NextBorrowRequest(kStart));
   const RateLoan loan{50'000, 10'000, 5'000, kLoanDuration};
   const SteadyTime answered = kStart + milliseconds(10);
-  share.AcceptLoan(kStart, loan, answered);
-  share.AcceptLoan(kStart, loan, answered);
-  EXPECT_EQ(share.Rate(answered), 75'000);
+  limiter.AcceptLoan(kStart, loan, answered);
+  limiter.AcceptLoan(kStart, loan, answered);
+  EXPECT_EQ(limiter.Rate(answered), 75'000);
   const SteadyTime end = kStart + HolderPeriod(kLoanDuration);
-  EXPECT_EQ(share.Capacity(end - Duration(1)), 20'000);
-  EXPECT_EQ(share.Capacity(end), 10'000);
+  EXPECT_EQ(limiter.Capacity(end - Duration(1)), 20'000);
+  EXPECT_EQ(limiter.Capacity(end), 10'000);
 
-  EXPECT_EQ(AdmittedOf(share, 50, end), 10);
-  ASSERT_TRUE(share.NextBorrowRequest(end));
-  share.AcceptLoan(end, loan, end + kLoanDuration);
-  EXPECT_EQ(share.Capacity(end + kLoanDuration), 10'000);
+  EXPECT_EQ(CountAdmitted(limiter, 50, end), 10);
+  ASSERT_TRUE(limiter.NextBorrowRequest(end));
+  limiter.AcceptLoan(end, loan, end + kLoanDuration);
+  EXPECT_EQ(limiter.Capacity(end + kLoanDuration), 10'000);
 }
 
-// Guards against refusals that a loan asked for in time prevents, and against
-// a flood of requests while no peer can lend.
-TEST_F(LocalRateLimiterTest, DemandAboveOwnRate_NextBorrow_AsksEarlyAndSeldom) {
-  LocalRateLimiter share = FullShare(1);
+// Guards against refusals that an early loan request would prevent, and against
+// a flood of loan requests while no peer can lend.
+TEST_F(LocalRateLimiterTest,
+       DemandAboveOwnRate_NextBorrowRequest_IsEarlyAndRare) {
+  LocalRateLimiter limiter = FullLimiter(1);
   SteadyTime now = kStart + seconds(10);
   int refused = 0;
-  int asked_before_dry = 0;
-  int asked = 0;
+  int requests_before_refusal = 0;
+  int requests_sent = 0;
   for (int request = 0; request < 2000; ++request) {
     now += milliseconds(5);
-    refused += IsAdmitted(share.Admit(now)) ? 0 : 1;
-    const bool asks = share.NextBorrowRequest(now).has_value();
-    asked += asks ? 1 : 0;
-    asked_before_dry += asks && refused == 0 ? 1 : 0;
+    refused += IsAdmitted(limiter.Admit(now)) ? 0 : 1;
+    const bool sends_request = limiter.NextBorrowRequest(now).has_value();
+    requests_sent += sends_request ? 1 : 0;
+    requests_before_refusal += sends_request && refused == 0 ? 1 : 0;
   }
-  EXPECT_EQ(asked_before_dry, 1);
-  EXPECT_GE(asked, 10);
-  EXPECT_LE(asked, 13);
+  EXPECT_EQ(requests_before_refusal, 1);
+  EXPECT_GE(requests_sent, 10);
+  EXPECT_LE(requests_sent, 13);
 }
 
-// Guards against loans for requests that only wait and ask again.
-TEST_F(LocalRateLimiterTest, RepeatedAttempts_NextBorrow_DoNotCountAsDemand) {
-  LocalRateLimiter share = FullShare(1);
+// Guards against loans for requests that are only retries.
+TEST_F(LocalRateLimiterTest,
+       RetriedAttempts_NextBorrowRequest_AreNotCountedAsDemand) {
+  LocalRateLimiter limiter = FullLimiter(1);
   SteadyTime now = kStart + seconds(10);
-  EXPECT_TRUE(IsAdmitted(share.Admit(now)));
+  EXPECT_TRUE(IsAdmitted(limiter.Admit(now)));
   for (int attempt = 0; attempt < 7; ++attempt) {
-    share.Admit(now, Attempt::kRetry);
+    limiter.Admit(now, Attempt::kRetry);
   }
   now += milliseconds(100);
-  EXPECT_FALSE(share.NextBorrowRequest(now));
+  EXPECT_FALSE(limiter.NextBorrowRequest(now));
 
-  LocalRateLimiter with_demand = FullShare(1);
-  EXPECT_EQ(AdmittedOf(with_demand, 8, kStart + seconds(10)), 8);
+  LocalRateLimiter with_demand = FullLimiter(1);
+  EXPECT_EQ(CountAdmitted(with_demand, 8, kStart + seconds(10)), 8);
   EXPECT_TRUE(with_demand.NextBorrowRequest(now));
 }
 
-// Guards against tokens that appear or stay when the limits change.
+// Guards against tokens that are added or kept wrongly when the limits change.
 TEST_F(LocalRateLimiterTest, LimitsLoweredAndRaised_Level_IsCutAndNotRestored) {
-  LocalRateLimiter share = FullShare(4);
+  LocalRateLimiter limiter = FullLimiter(4);
   const SteadyTime now = kStart + seconds(10);
-  EXPECT_EQ(share.Level(now), 40'000);
-  share.SetLimits({.rate = 10, .burst = 8, .total_slots = 4}, now);
-  EXPECT_EQ(share.Level(now), 8'000);
-  share.SetLimits({.rate = 100, .burst = 40, .total_slots = 4}, now);
-  EXPECT_EQ(share.Level(now), 8'000);
-  EXPECT_EQ(share.Rate(now), 100'000);
+  EXPECT_EQ(limiter.Level(now), 40'000);
+  limiter.SetLimits({.rate = 10, .burst = 8, .total_slots = 4}, now);
+  EXPECT_EQ(limiter.Level(now), 8'000);
+  limiter.SetLimits({.rate = 100, .burst = 40, .total_slots = 4}, now);
+  EXPECT_EQ(limiter.Level(now), 8'000);
+  EXPECT_EQ(limiter.Rate(now), 100'000);
 }
 
 // Guards against daemons that know different numbers of slots and together
-// count more than the whole rate.
+// exceed the whole rate.
 RC_GTEST_PROP(LocalRateLimiterSlotChangeTest,
               MixedKnowledge_SumOfRates_IsWithinLimit, ()) {
   const auto rate = *rc::gen::inRange<std::uint32_t>(0, 100);
@@ -214,32 +221,32 @@
   const auto after = *rc::gen::inRange<std::uint32_t>(1, 12);
   Millitokens sum = 0;
   for (RateSlotNumber slot = 0; slot < std::max(before, after); ++slot) {
-    LocalRateLimiter share({rate, 10, before}, kStart);
-    share.AddSlot(slot, kLeaseEnd + hours(2), kStart);
+    LocalRateLimiter limiter({rate, 10, before}, kStart);
+    limiter.AddSlot(slot, kLeaseEnd + hours(2), kStart);
     if (*rc::gen::arbitrary<bool>()) {
-      share.SetLimits({rate, 10, after}, kStart);
+      limiter.SetLimits({rate, 10, after}, kStart);
     }
-    sum += share.Rate(kStart);
+    sum += limiter.Rate(kStart);
   }
   RC_ASSERT(sum <= Millitokens{rate} * 1000);
 }
 
-// Guards against rounding in favour of admission, with a clock at the fast end
-// of what is allowed for.
+// Guards against rounding in favour of admission, with the fastest clock that
+// is tolerated.
 RC_GTEST_PROP(LocalRateLimiterWindowTest,
               FastClock_AnyWindow_IsWithinRateAndBurst, ()) {
   const auto rate = *rc::gen::inRange<std::uint32_t>(1, 300);
   const auto burst = *rc::gen::inRange<std::uint32_t>(1, 20);
   const auto gaps = *rc::gen::container<std::vector<std::int64_t>>(
       rc::gen::inRange<std::int64_t>(0, 20'000'000));
-  LocalRateLimiter share({rate, burst, 1}, kStart);
-  share.AddSlot(0, kLeaseEnd, kStart);
+  LocalRateLimiter limiter({rate, burst, 1}, kStart);
+  limiter.AddSlot(0, kLeaseEnd, kStart);
   Duration real = seconds(30);
   std::vector<Duration> admitted;
   for (const std::int64_t gap : gaps) {
     real += Duration(gap);
     const SteadyTime now = kStart + real + real / 200;
-    if (IsAdmitted(share.Admit(now))) {
+    if (IsAdmitted(limiter.Admit(now))) {
       admitted.push_back(real);
     }
   }
--- a/Source/UnitTests/Core/Process/membership_test.cc
+++ b/Source/UnitTests/Core/Process/membership_test.cc
@@ -31,7 +31,7 @@
   return FailureDomainId("region-domain-" + std::to_string(number));
 }
 
-/// Daemons that exchange heartbeats in virtual time.
+/// Simulation of daemons that exchange heartbeats in virtual time.
 class HeartbeatFleet {
  public:
   HeartbeatFleet(std::size_t domains, std::size_t per_domain) {
@@ -41,17 +41,18 @@
       this->numbers[host] = number;
     }
     for (const ListedHost& entry : this->list) {
-      this->views.push_back(this->NewView(entry, 1));
-      this->up.push_back(true);
+      this->memberships.push_back(this->NewMembership(entry, 1));
+      this->running.push_back(true);
       this->incarnations.push_back(1);
     }
   }
 
-  Membership NewView(const ListedHost& entry, Incarnation incarnation) const {
-    Membership view(entry.host, entry.domain, incarnation, this->now);
-    view.SetOwnState(PeerState::kLive);
-    view.SetHosts(this->list, this->now);
-    return view;
+  Membership NewMembership(const ListedHost& entry,
+                           Incarnation incarnation) const {
+    Membership membership(entry.host, entry.domain, incarnation, this->now);
+    membership.SetOwnState(PeerState::kLive);
+    membership.SetHosts(this->list, this->now);
+    return membership;
   }
 
   const HostId& Host(std::size_t number) const {
@@ -59,188 +60,198 @@
   }
 
   void Restart(std::size_t number) {
-    this->up[number] = true;
-    this->views[number] =
-        this->NewView(this->list[number], ++this->incarnations[number]);
+    this->running[number] = true;
+    this->memberships[number] =
+        this->NewMembership(this->list[number], ++this->incarnations[number]);
   }
 
   void RunRounds(int rounds) {
     for (int round = 0; round < rounds; ++round) {
       this->now += kHeartbeatInterval;
-      for (std::size_t sender = 0; sender < this->views.size(); ++sender) {
-        if (!this->up[sender]) {
+      for (std::size_t sender = 0; sender < this->memberships.size();
+           ++sender) {
+        if (!this->running[sender]) {
           continue;
         }
         for (const HostId& target :
-             this->views[sender].StartHeartbeatRound(this->now)) {
+             this->memberships[sender].StartHeartbeatRound(this->now)) {
           this->Exchange(sender, this->numbers.at(target));
         }
       }
     }
   }
 
-  /// Number of daemons that are up and take another one for live; of one
-  /// domain if it is given.
-  std::size_t Believers(
+  /// Number of running daemons that consider another one as live, restricted to
+  /// one domain if it is given.
+  std::size_t CountSeenAsLive(
       std::size_t number,
       const std::optional<FailureDomainId>& domain = std::nullopt) const {
-    std::size_t believers = 0;
-    for (std::size_t view = 0; view < this->views.size(); ++view) {
-      const bool other = view != number && this->up[view] &&
-                         (!domain || this->list[view].domain == *domain);
-      if (other && this->views[view].IsLive(this->Host(number), this->now)) {
-        ++believers;
+    std::size_t count = 0;
+    for (std::size_t viewer = 0; viewer < this->memberships.size(); ++viewer) {
+      const bool other = viewer != number && this->running[viewer] &&
+                         (!domain || this->list[viewer].domain == *domain);
+      if (other &&
+          this->memberships[viewer].IsLive(this->Host(number), this->now)) {
+        ++count;
       }
     }
-    return believers;
+    return count;
   }
 
   std::vector<ListedHost> list;
-  std::vector<Membership> views;
-  std::vector<bool> up;
+  std::vector<Membership> memberships;
+  std::vector<bool> running;
   std::vector<Incarnation> incarnations;
   std::map<HostId, std::size_t> numbers;
-  /// Two domains between which nothing arrives.
+  /// Two domains that are partitioned from each other.
   std::set<FailureDomainId> cut_pair;
   SteadyTime now = kStart;
 
  private:
-  PeerHeartbeat From(std::size_t sender, std::size_t receiver) const {
+  PeerHeartbeat HeartbeatOf(std::size_t sender, std::size_t receiver) const {
     const ListedHost& entry = this->list[sender];
-    return {
-        entry.host, this->incarnations[sender], entry.domain, PeerState::kLive,
-        this->views[sender].Reports(this->list[receiver].domain, this->now)};
+    return {entry.host, this->incarnations[sender], entry.domain,
+            PeerState::kLive,
+            this->memberships[sender].Reports(this->list[receiver].domain,
+                                              this->now)};
   }
 
   void Exchange(std::size_t sender, std::size_t receiver) {
     const std::set<FailureDomainId> pair{this->list[sender].domain,
                                          this->list[receiver].domain};
-    if (!this->up[receiver] || pair == this->cut_pair) {
+    if (!this->running[receiver] || pair == this->cut_pair) {
       return;
     }
-    this->views[receiver].OnHeartbeat(this->From(sender, receiver), this->now);
-    this->views[sender].OnHeartbeat(this->From(receiver, sender), this->now);
+    this->memberships[receiver].OnHeartbeat(this->HeartbeatOf(sender, receiver),
+                                            this->now);
+    this->memberships[sender].OnHeartbeat(this->HeartbeatOf(receiver, sender),
+                                          this->now);
   }
 };
 
 class MembershipTest : public testing::Test {
  protected:
-  MembershipTest() : view(HostId("a"), DomainNumber(0), 1, kStart) {
-    this->view.SetOwnState(PeerState::kLive);
-    this->view.SetHosts({{HostId("a"), DomainNumber(0)},
-                         {HostId("b"), DomainNumber(0)},
-                         {HostId("c"), DomainNumber(0)},
-                         {HostId("d"), DomainNumber(1)}},
-                        kStart);
-    this->view.StartHeartbeatRound(kStart);
+  MembershipTest() : membership(HostId("a"), DomainNumber(0), 1, kStart) {
+    this->membership.SetOwnState(PeerState::kLive);
+    this->membership.SetHosts({{HostId("a"), DomainNumber(0)},
+                               {HostId("b"), DomainNumber(0)},
+                               {HostId("c"), DomainNumber(0)},
+                               {HostId("d"), DomainNumber(1)}},
+                              kStart);
+    this->membership.StartHeartbeatRound(kStart);
   }
 
-  void Hear(const std::string& host, SteadyTime now,
-            PeerState state = PeerState::kLive, Incarnation incarnation = 1,
-            std::vector<PeerReport> reports = {}) {
-    this->view.OnHeartbeat(
+  void ReceiveHeartbeat(const std::string& host, SteadyTime now,
+                        PeerState state = PeerState::kLive,
+                        Incarnation incarnation = 1,
+                        std::vector<PeerReport> reports = {}) {
+    this->membership.OnHeartbeat(
         {HostId(host), incarnation, DomainNumber(host == "d" ? 1 : 0), state,
          std::move(reports)},
         now);
   }
 
-  /// Rounds of heartbeats that nobody answers.
+  /// Runs heartbeat rounds without any response.
   SteadyTime RunRounds(SteadyTime now, int rounds) {
     for (int round = 0; round < rounds; ++round) {
       now += kHeartbeatInterval;
-      this->view.StartHeartbeatRound(now);
+      this->membership.StartHeartbeatRound(now);
     }
     return now;
   }
 
-  Membership view;
+  Membership membership;
 };
 
-// Guards against requests that go to a daemon which froze.
-TEST_F(MembershipTest, PeerUnheardForASecond_View_SkipsItUntilItIsHeard) {
-  this->Hear("b", kStart);
+// Guards against requests that are sent to an unresponsive daemon.
+TEST_F(MembershipTest, SilentPeer_IsLive_IsFalseUntilHeard) {
+  this->ReceiveHeartbeat("b", kStart);
   SteadyTime now = this->RunRounds(kStart, 2);
   const SteadyTime limit = kStart + kHeartbeatTimeout;
-  EXPECT_TRUE(this->view.IsLive(HostId("b"), limit));
-  EXPECT_FALSE(this->view.IsLive(HostId("b"), limit + Duration(1)));
+  EXPECT_TRUE(this->membership.IsLive(HostId("b"), limit));
+  EXPECT_FALSE(this->membership.IsLive(HostId("b"), limit + Duration(1)));
   now = this->RunRounds(now, 2);
-  EXPECT_FALSE(this->view.IsLive(HostId("b"), now));
-  this->Hear("b", now);
-  EXPECT_TRUE(this->view.IsLive(HostId("b"), now));
+  EXPECT_FALSE(this->membership.IsLive(HostId("b"), now));
+  this->ReceiveHeartbeat("b", now);
+  EXPECT_TRUE(this->membership.IsLive(HostId("b"), now));
 }
 
-// Guards against a peer that lives on in reports passed around.
-TEST_F(MembershipTest, ReportFromAPeer_Age_Counts) {
+// Guards against an unresponsive peer that is kept alive by outdated reports.
+TEST_F(MembershipTest, ReportOfPeer_IsLive_ConsidersReportAge) {
   const SteadyTime now = this->RunRounds(kStart, 4);
-  ASSERT_FALSE(this->view.IsLive(HostId("c"), now));
+  ASSERT_FALSE(this->membership.IsLive(HostId("c"), now));
   const PeerReport heard{HostId("c"),      1,     DomainNumber(0),
                          PeerState::kLive, false, Duration::zero()};
   PeerReport old = heard;
   old.age = seconds(2);
-  this->Hear("b", now, PeerState::kLive, 1, {old});
-  EXPECT_FALSE(this->view.IsLive(HostId("c"), now));
+  this->ReceiveHeartbeat("b", now, PeerState::kLive, 1, {old});
+  EXPECT_FALSE(this->membership.IsLive(HostId("c"), now));
   PeerReport later = heard;
   const SteadyTime next = now + milliseconds(300);
   later.age = milliseconds(200);
-  this->Hear("b", next, PeerState::kLive, 1, {later});
-  this->view.StartHeartbeatRound(next + milliseconds(400));
-  EXPECT_TRUE(this->view.IsLive(HostId("c"), next + milliseconds(800)));
-  EXPECT_FALSE(this->view.IsLive(HostId("c"), next + milliseconds(801)));
+  this->ReceiveHeartbeat("b", next, PeerState::kLive, 1, {later});
+  this->membership.StartHeartbeatRound(next + milliseconds(400));
+  EXPECT_TRUE(this->membership.IsLive(HostId("c"), next + milliseconds(800)));
+  EXPECT_FALSE(this->membership.IsLive(HostId("c"), next + milliseconds(801)));
 }
 
-// Guards against work for a daemon that leaves or has not started.
-TEST_F(MembershipTest, DrainingOrStartingPeers_OwnNothing) {
+// Guards against endpoints owned by a daemon that is leaving or has not
+// started.
+TEST_F(MembershipTest, DrainingOrStartingPeers_OwnerOf_SkipsThem) {
   for (const PeerState state : {PeerState::kStarting, PeerState::kDraining}) {
-    this->Hear("b", kStart, state);
-    this->Hear("c", kStart, state);
+    this->ReceiveHeartbeat("b", kStart, state);
+    this->ReceiveHeartbeat("c", kStart, state);
     for (int number = 0; number < 20; ++number) {
       const EndpointId endpoint("db-" + std::to_string(number));
-      EXPECT_EQ(this->view.OwnerOf(endpoint, DomainNumber(0), kStart),
+      EXPECT_EQ(this->membership.OwnerOf(endpoint, DomainNumber(0), kStart),
                 HostId("a"));
     }
   }
-  this->view.SetOwnState(PeerState::kDraining);
-  EXPECT_EQ(this->view.OwnerOf(EndpointId("db"), DomainNumber(0), kStart),
+  this->membership.SetOwnState(PeerState::kDraining);
+  EXPECT_EQ(this->membership.OwnerOf(EndpointId("db"), DomainNumber(0), kStart),
             HostId("d"));
 }
 
-// Guards against a late heartbeat of an earlier run of a peer.
-TEST_F(MembershipTest, HeartbeatOfAnEarlierRun_IsIgnored) {
-  this->Hear("b", kStart, PeerState::kDraining, 7);
-  this->Hear("b", kStart, PeerState::kLive, 6);
-  EXPECT_FALSE(this->view.IsLive(HostId("b"), kStart));
-  this->Hear("b", kStart, PeerState::kLive, 8);
-  EXPECT_TRUE(this->view.IsLive(HostId("b"), kStart));
+// Guards against a delayed heartbeat of an earlier run of a peer.
+TEST_F(MembershipTest, EarlierIncarnation_OnHeartbeat_IsIgnored) {
+  this->ReceiveHeartbeat("b", kStart, PeerState::kDraining, 7);
+  this->ReceiveHeartbeat("b", kStart, PeerState::kLive, 6);
+  EXPECT_FALSE(this->membership.IsLive(HostId("b"), kStart));
+  this->ReceiveHeartbeat("b", kStart, PeerState::kLive, 8);
+  EXPECT_TRUE(this->membership.IsLive(HostId("b"), kStart));
 }
 
-// Guards against a paused daemon that takes itself for the only one.
-TEST_F(MembershipTest, OwnPause_Peers_AreNotSkippedAtOnce) {
-  this->Hear("b", kStart);
+// Guards against a daemon that considers itself the only live one after a
+// pause.
+TEST_F(MembershipTest, PausedDaemon_Resume_KeepsPeersLive) {
+  this->ReceiveHeartbeat("b", kStart);
   const SteadyTime resumed = kStart + seconds(30);
-  EXPECT_TRUE(this->view.IsLive(HostId("b"), resumed));
-  this->view.StartHeartbeatRound(resumed);
-  EXPECT_TRUE(this->view.IsLive(HostId("b"), resumed));
-  EXPECT_TRUE(this->view.Reports(DomainNumber(0), resumed).empty());
+  EXPECT_TRUE(this->membership.IsLive(HostId("b"), resumed));
+  this->membership.StartHeartbeatRound(resumed);
+  EXPECT_TRUE(this->membership.IsLive(HostId("b"), resumed));
+  EXPECT_TRUE(this->membership.Reports(DomainNumber(0), resumed).empty());
   const SteadyTime later = this->RunRounds(resumed, 3);
-  EXPECT_FALSE(this->view.IsLive(HostId("b"), later));
+  EXPECT_FALSE(this->membership.IsLive(HostId("b"), later));
 }
 
-// Guards against two owners, or none, that daemons with the same view choose.
+// Guards against daemons with the same view that choose different owners, or
+// none.
 RC_GTEST_PROP(MembershipOwnerTest, AnyView_Owner_IsFirstInRendezvousOrder, ()) {
   const auto live =
       *rc::gen::container<std::vector<bool>>(12, rc::gen::arbitrary<bool>());
-  Membership view(HostId("self"), DomainNumber(9), 1, kStart);
+  Membership membership(HostId("self"), DomainNumber(9), 1, kStart);
   std::vector<std::vector<HostId>> expected(3);
   std::vector<HostId> all;
   for (std::size_t number = 0; number < live.size(); ++number) {
     const HostId host("daemon-" + std::to_string(number));
     const std::size_t domain = number % 3;
-    view.OnHeartbeat({host,
-                      1,
-                      DomainNumber(domain),
-                      live[number] ? PeerState::kLive : PeerState::kDraining,
-                      {}},
-                     kStart);
+    membership.OnHeartbeat(
+        {host,
+         1,
+         DomainNumber(domain),
+         live[number] ? PeerState::kLive : PeerState::kDraining,
+         {}},
+        kStart);
     if (live[number]) {
       expected[domain].push_back(host);
       all.push_back(host);
@@ -250,13 +261,14 @@
   for (std::size_t domain = 0; domain < 3; ++domain) {
     const std::vector<HostId> order = common::RendezvousOrder(
         endpoint.Value(), expected[domain].empty() ? all : expected[domain]);
-    const auto owner = view.OwnerOf(endpoint, DomainNumber(domain), kStart);
+    const auto owner =
+        membership.OwnerOf(endpoint, DomainNumber(domain), kStart);
     RC_ASSERT(owner.has_value() == !order.empty());
     // RC_ASSERT evaluates both sides of ||.
     if (!order.empty()) {
       RC_ASSERT(*owner == order.front());
     }
-    const auto watchers = view.WatchersOf(DomainNumber(domain), kStart);
+    const auto watchers = membership.WatchersOf(DomainNumber(domain), kStart);
     RC_ASSERT(watchers.size() ==
               std::min<std::size_t>(2, expected[domain].size()));
   }
@@ -264,72 +276,75 @@
 
 class HeartbeatFleetTest : public testing::Test {};
 
-// Guards against daemons that skip each other without a fault.
-TEST_F(HeartbeatFleetTest, NoFault_Everyone_IsLiveToEveryone) {
+// Guards against daemons that consider each other as silent without a fault.
+TEST_F(HeartbeatFleetTest, NoFault_RunRounds_AllSeeAllAsLive) {
   for (const std::size_t per_domain : {1, 2, 3, 8, 9, 10, 40}) {
     HeartbeatFleet fleet(3, per_domain);
     fleet.RunRounds(20);
-    for (std::size_t number = 0; number < fleet.views.size(); ++number) {
-      EXPECT_EQ(fleet.Believers(number), fleet.views.size() - 1)
+    for (std::size_t number = 0; number < fleet.memberships.size(); ++number) {
+      EXPECT_EQ(fleet.CountSeenAsLive(number), fleet.memberships.size() - 1)
           << per_domain << " a domain, daemon " << number;
     }
   }
 }
 
-// Guards against a large domain in which news of a killed or a restarted
-// daemon does not reach everyone, and against its relay being that daemon.
-TEST_F(HeartbeatFleetTest, LargeDomain_KilledAndRestarted_EveryoneLearnsIt) {
+// Guards against a killed or restarted daemon of a large domain that not all
+// daemons learn about, in particular if it is the domain's relay.
+TEST_F(HeartbeatFleetTest, LargeDomain_KilledAndRestarted_AllDaemonsLearnIt) {
   HeartbeatFleet fleet(2, 155);
   fleet.RunRounds(5);
-  const HostId relay =
-      *fleet.views[0].RelayOf(DomainNumber(0), DomainNumber(1), fleet.now);
+  const HostId relay = *fleet.memberships[0].RelayOf(
+      DomainNumber(0), DomainNumber(1), fleet.now);
   const std::size_t killed = fleet.numbers.at(relay);
-  fleet.up[killed] = false;
+  fleet.running[killed] = false;
   int rounds = 0;
-  while (fleet.Believers(killed) > 0 && rounds < 50) {
+  while (fleet.CountSeenAsLive(killed) > 0 && rounds < 50) {
     fleet.RunRounds(1);
     ++rounds;
   }
   std::cout << "killed: skipped everywhere after " << rounds << " rounds\n";
   EXPECT_LE(rounds, 10);
-  // The others keep to it while the host list still names the daemon.
+  // The daemon stays silent for the others while the host list still contains
+  // it.
   for (int round = 0; round < 45; ++round) {
     fleet.RunRounds(1);
-    ASSERT_EQ(fleet.Believers(killed), 0) << "round " << round;
+    ASSERT_EQ(fleet.CountSeenAsLive(killed), 0) << "round " << round;
   }
   fleet.Restart(killed);
   fleet.RunRounds(10);
-  EXPECT_EQ(fleet.Believers(killed), fleet.views.size() - 1);
+  EXPECT_EQ(fleet.CountSeenAsLive(killed), fleet.memberships.size() - 1);
 }
 
-// Guards against a link between two domains whose loss makes a third one skip
-// daemons that it reaches, and against its effect lasting after its return.
-TEST_F(HeartbeatFleetTest, TwoDomainsCutOff_Third_IsNotAffected) {
+// Guards against a partition between two domains that makes a third one
+// consider daemons as silent that it reaches, and against effects that outlast
+// the partition.
+TEST_F(HeartbeatFleetTest, TwoDomainsPartitioned_ThirdDomain_IsNotAffected) {
   HeartbeatFleet fleet(3, 10);
   fleet.RunRounds(5);
   fleet.cut_pair = {DomainNumber(0), DomainNumber(1)};
   for (int round = 0; round < 100; ++round) {
     fleet.RunRounds(1);
     for (std::size_t number = 0; number < 20; ++number) {
-      ASSERT_EQ(fleet.Believers(number, DomainNumber(2)), 10);
-      ASSERT_EQ(fleet.Believers(number, fleet.list[number].domain), 9);
+      ASSERT_EQ(fleet.CountSeenAsLive(number, DomainNumber(2)), 10);
+      ASSERT_EQ(fleet.CountSeenAsLive(number, fleet.list[number].domain), 9);
     }
   }
   fleet.cut_pair.clear();
   fleet.RunRounds(45);
   for (std::size_t number = 0; number < 30; ++number) {
-    EXPECT_EQ(fleet.Believers(number), 29);
+    EXPECT_EQ(fleet.CountSeenAsLive(number), 29);
   }
 }
 
-/// Messages that a daemon sends in a round, requests and answers together.
+/// Number of messages that a daemon sends per round, requests and responses
+/// together.
 struct Traffic {
   double mean = 0;
   std::size_t largest = 0;
 };
 
-/// Traffic of the daemons of the first domain.
-Traffic TrafficOf(std::size_t domains, std::size_t per_domain) {
+/// Measures the traffic of the daemons of the first domain.
+Traffic MeasureTraffic(std::size_t domains, std::size_t per_domain) {
   std::vector<ListedHost> list;
   for (std::size_t number = 0; number < domains * per_domain; ++number) {
     list.push_back({HostId("daemon-" + std::to_string(number)),
@@ -338,21 +353,22 @@
   std::map<HostId, std::size_t> messages;
   for (std::size_t number = 0; number < per_domain; ++number) {
     const HostId& self = list[number].host;
-    Membership view(self, DomainNumber(0), 1, kStart);
-    view.SetOwnState(PeerState::kLive);
-    view.SetHosts(list, kStart);
-    for (const HostId& target : view.StartHeartbeatRound(kStart)) {
-      const bool inside = std::any_of(
+    Membership membership(self, DomainNumber(0), 1, kStart);
+    membership.SetOwnState(PeerState::kLive);
+    membership.SetHosts(list, kStart);
+    for (const HostId& target : membership.StartHeartbeatRound(kStart)) {
+      const bool same_domain = std::any_of(
           list.begin(), list.begin() + static_cast<std::ptrdiff_t>(per_domain),
           [&](const ListedHost& entry) { return entry.host == target; });
-      if (inside) {
+      if (same_domain) {
         ++messages[self];
         ++messages[target];
       }
     }
-    // Whichever domain sends, the relay of this one sends one message.
+    // Whichever domain initiates, the relay of this one sends one message.
     for (std::size_t other = 1; other < domains; ++other) {
-      if (view.RelayOf(DomainNumber(0), DomainNumber(other), kStart) == self) {
+      if (membership.RelayOf(DomainNumber(0), DomainNumber(other), kStart) ==
+          self) {
         ++messages[self];
       }
     }
@@ -366,7 +382,7 @@
   return traffic;
 }
 
-/// Bytes of a heartbeat without reports, before gRPC's framing.
+/// Size in bytes of a heartbeat without reports, without gRPC's framing.
 std::size_t HeartbeatBytes() {
   peer::v1::HeartbeatMessage message;
   message.set_host("daemon-3400");
@@ -378,8 +394,8 @@
   return message.ByteSizeLong();
 }
 
-// Guards against heartbeats that grow with the fleet beyond what a daemon may
-// use for control.
+// Guards against heartbeat traffic that grows with the fleet beyond what a
+// daemon may use for control traffic.
 TEST_F(HeartbeatFleetTest, SmallAndLargeFleet_Traffic_IsBounded) {
   constexpr double kBytesPerSecondBound = 2000;
   const double rounds =
@@ -388,7 +404,7 @@
   for (const auto& [domains, per_domain] :
        std::vector<std::pair<std::size_t, std::size_t>>{
            {1, 8}, {3, 3}, {22, 155}}) {
-    const Traffic traffic = TrafficOf(domains, per_domain);
+    const Traffic traffic = MeasureTraffic(domains, per_domain);
     const double mean = traffic.mean * rounds;
     const double largest = static_cast<double>(traffic.largest) * rounds;
     const double bytes = largest * static_cast<double>(HeartbeatBytes());
