--- a/Source/UnitTests/Core/Process/rate_limit_simulation.h
+++ b/Source/UnitTests/Core/Process/rate_limit_simulator.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATION_H_
-#define CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATION_H_
+#ifndef CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATOR_H_
+#define CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATOR_H_
 
 #include <algorithm>
 #include <chrono>
@@ -17,7 +17,7 @@
 
 namespace camphorferry::process {
 
-/// What happens to the messages of the next loan.
+/// Fault that affects the messages of the next loan.
 enum class LoanFault {
   kNone,
   kRequestLost,
@@ -27,9 +27,9 @@
   kAnswerDelayed,
 };
 
-/// Daemons, a store and the network between them in virtual real time. Every
-/// daemon sees that time through a clock with a rate of its own.
-class RateLimitSimulation {
+/// Simulator of daemons, a store and the network between them in virtual time.
+/// Each daemon reads that time from a clock with its own rate error.
+class RateLimitSimulator {
  public:
   struct Options {
     std::uint32_t domains = 1;
@@ -37,13 +37,14 @@
     std::uint32_t slots_per_domain = 4;
     std::uint32_t rate = 40;
     std::uint32_t burst = 12;
-    /// Error of each daemon's clock rate; missing ones are exact.
+    /// Error of each daemon's clock rate in parts per million; missing entries
+    /// are zero.
     std::vector<std::int64_t> clock_ppm;
-    LocalRateLimiter::Policy share;
-    RateSlotLeaseManager::Policy lease;
+    LocalRateLimiter::Policy limiter_policy;
+    RateSlotLeaseManager::Policy lease_policy;
   };
 
-  explicit RateLimitSimulation(const Options& options) : options(options) {
+  explicit RateLimitSimulator(const Options& options) : options(options) {
     this->limits.push_back({{options.rate, options.burst,
                              options.domains * options.slots_per_domain},
                             common::Duration::zero()});
@@ -64,45 +65,46 @@
 
   std::size_t Size() const { return this->daemons.size(); }
 
-  /// Lets time pass; every daemon is ticked once per step.
+  /// Advances the time. Every daemon is ticked once per step.
   void Advance(
       common::Duration time, common::Duration step,
       const std::function<void()>& each_step = [] {}) {
-    const common::Duration end = this->real + time;
-    while (this->real < end) {
-      const common::Duration next = std::min(this->real + step, end);
+    const common::Duration end = this->real_time + time;
+    while (this->real_time < end) {
+      const common::Duration next = std::min(this->real_time + step, end);
       this->Deliver(next);
-      this->real = next;
+      this->real_time = next;
       for (const auto& daemon : this->daemons) {
         if (daemon->alive && !daemon->paused) {
-          this->CarryOut(*daemon, daemon->lease->Tick(this->Clock(*daemon)));
-          this->AskForLoan(*daemon);
+          this->PerformActions(
+              *daemon, daemon->lease_manager->Tick(this->Clock(*daemon)));
+          this->RequestLoan(*daemon);
         }
       }
       each_step();
     }
   }
 
-  /// Requests that arrive at a daemon at once.
+  /// Sends requests to a daemon at the same time.
   void Request(std::size_t index, int requests) {
     for (int request = 0; request < requests; ++request) {
-      this->Ask(index, Attempt::kFirst);
+      this->Admit(index, Attempt::kFirst);
     }
   }
 
-  /// One request; true if it was admitted.
-  bool Ask(std::size_t index, Attempt attempt) {
+  /// Sends one request to a daemon; true if it was admitted.
+  bool Admit(std::size_t index, Attempt attempt) {
     Daemon& daemon = *this->daemons[index];
     if (!daemon.alive || daemon.paused || daemon.draining) {
       return false;
     }
     const Admission admission =
-        daemon.share->Admit(this->Clock(daemon), attempt);
+        daemon.limiter->Admit(this->Clock(daemon), attempt);
     const bool admitted = std::holds_alternative<Admitted>(admission);
     if (admitted) {
-      this->admissions.push_back(this->real);
+      this->admissions.push_back(this->real_time);
     }
-    this->AskForLoan(daemon);
+    this->RequestLoan(daemon);
     return admitted;
   }
 
@@ -111,7 +113,7 @@
   void Resume(std::size_t index) {
     Daemon& daemon = *this->daemons[index];
     daemon.paused = false;
-    for (auto& event : std::exchange(daemon.inbox, {})) {
+    for (auto& event : std::exchange(daemon.deferred_events, {})) {
       event();
     }
   }
@@ -119,9 +121,9 @@
   void Kill(std::size_t index) {
     Daemon& daemon = *this->daemons[index];
     daemon.alive = false;
-    daemon.inbox.clear();
-    daemon.learned = this->limits.size();
-    this->NoteLearned();
+    daemon.deferred_events.clear();
+    daemon.known_limits = this->limits.size();
+    this->UpdateOutdatedLimits();
     this->PublishHosts();
   }
 
@@ -137,18 +139,20 @@
       return;
     }
     daemon.draining = true;
-    this->CarryOut(daemon, daemon.lease->Drain(this->Clock(daemon)));
+    this->PerformActions(daemon,
+                         daemon.lease_manager->Drain(this->Clock(daemon)));
     this->PublishHosts();
   }
 
-  void SetStoreUp(bool up) { this->store_up = up; }
+  void SetStoreUp(bool available) { this->store_up = available; }
   void CutFromStore(std::size_t index, bool cut) {
     this->daemons[index]->store_cut = cut;
   }
   void CutFromPeers(std::size_t index, bool cut) {
     this->daemons[index]->peers_cut = cut;
   }
-  /// The next updates take effect after this time, and their answers are lost.
+  /// The next `answers` store updates take effect after a delay, and their
+  /// responses are lost.
   void LoseAnswers(int answers, common::Duration effect_after) {
     this->lost_answers = answers;
     this->late_effect = effect_after;
@@ -158,39 +162,40 @@
     this->loan_delay = delay;
   }
 
-  /// New limits, which each daemon learns after a time of its own.
+  /// Changes the limits. Each daemon applies them after a different delay.
   void SetLimits(std::uint32_t rate, std::uint32_t burst,
                  common::Duration spread) {
     this->limits.push_back(
-        {{rate, burst, this->limits[0].limits.total_slots}, this->real});
+        {{rate, burst, this->limits[0].limits.total_slots}, this->real_time});
     const std::size_t version = this->limits.size();
     common::Duration delay = std::chrono::milliseconds(1);
     for (const auto& daemon : this->daemons) {
       delay += spread;
-      this->Send(*daemon, delay, [this, version](Daemon& receiver) {
-        if (receiver.learned < version) {
-          receiver.learned = version;
-          receiver.share->SetLimits(this->limits[version - 1].limits,
-                                    this->Clock(receiver));
-          this->NoteLearned();
+      this->SendToDaemon(*daemon, delay, [this, version](Daemon& receiver) {
+        if (receiver.known_limits < version) {
+          receiver.known_limits = version;
+          receiver.limiter->SetLimits(this->limits[version - 1].limits,
+                                      this->Clock(receiver));
+          this->UpdateOutdatedLimits();
         }
       });
     }
-    this->NoteLearned();
+    this->UpdateOutdatedLimits();
   }
 
   std::size_t AdmittedCount() const { return this->admissions.size(); }
 
-  /// Number of slots that a daemon uses now.
+  /// Number of slots that a daemon currently uses.
   std::size_t SlotsOf(std::size_t index) const {
     const Daemon& daemon = *this->daemons[index];
-    return daemon.alive ? daemon.lease->HeldSlots(this->Clock(daemon)).size()
-                        : 0;
+    return daemon.alive
+               ? daemon.lease_manager->HeldSlots(this->Clock(daemon)).size()
+               : 0;
   }
 
-  /// Naive check of every window that begins and ends with an admission: no
-  /// more than rate x window + burst, the larger of the limits that some daemon
-  /// may use in the window. Returns the largest excess in requests.
+  /// Checks every window that begins and ends with an admission: at most rate x
+  /// window + burst, using the largest limits that some daemon may apply in the
+  /// window. Returns the largest excess in requests.
   double WorstExcess() const {
     double worst = -1e9;
     for (std::size_t first = 0; first < this->admissions.size(); ++first) {
@@ -224,13 +229,13 @@
     bool draining = false;
     bool store_cut = false;
     bool peers_cut = false;
-    /// Number of limits that it knows, the latest being in force.
-    std::size_t learned = 0;
-    std::unique_ptr<LocalRateLimiter> share;
-    std::unique_ptr<RateSlotLeaseManager> lease;
-    /// Events that wait for the end of a pause.
-    std::vector<std::function<void()>> inbox;
-    LenderSelector lenders;
+    /// Number of limit versions known to the daemon; it applies the latest.
+    std::size_t known_limits = 0;
+    std::unique_ptr<LocalRateLimiter> limiter;
+    std::unique_ptr<RateSlotLeaseManager> lease_manager;
+    /// Events deferred until the end of a pause.
+    std::vector<std::function<void()>> deferred_events;
+    LenderSelector lender_selector;
   };
 
   struct Store {
@@ -241,7 +246,8 @@
   struct LimitsInForce {
     RateLimits limits;
     common::Duration from;
-    /// When the last daemon that knew nothing newer, and loans by it, ended.
+    /// Time at which the last daemon that knew nothing newer, and its loans,
+    /// had ended.
     common::Duration until = common::Duration::max();
   };
 
@@ -250,8 +256,9 @@
   static constexpr common::Duration kHostListLag = std::chrono::seconds(10);
 
   common::SteadyTime Clock(const Daemon& daemon) const {
-    const common::Duration error = this->real / 1'000'000 * daemon.clock_ppm;
-    return common::SteadyTime(std::chrono::hours(1) + this->real + error);
+    const common::Duration error =
+        this->real_time / 1'000'000 * daemon.clock_ppm;
+    return common::SteadyTime(std::chrono::hours(1) + this->real_time + error);
   }
 
   void Start(Daemon& daemon) {
@@ -259,26 +266,27 @@
     daemon.alive = true;
     daemon.paused = false;
     daemon.draining = false;
-    daemon.learned = this->limits.size();
-    daemon.share = std::make_unique<LocalRateLimiter>(
-        this->limits.back().limits, this->Clock(daemon), this->options.share);
+    daemon.known_limits = this->limits.size();
+    daemon.limiter = std::make_unique<LocalRateLimiter>(
+        this->limits.back().limits, this->Clock(daemon),
+        this->options.limiter_policy);
     const RateSlotLeaseManager::SlotRange range{
         daemon.domain * this->options.slots_per_domain,
         this->options.slots_per_domain};
-    daemon.lenders = LenderSelector();
-    daemon.lease = std::make_unique<RateSlotLeaseManager>(
-        daemon.host, daemon.incarnation, range, this->options.lease);
+    daemon.lender_selector = LenderSelector();
+    daemon.lease_manager = std::make_unique<RateSlotLeaseManager>(
+        daemon.host, daemon.incarnation, range, this->options.lease_policy);
   }
 
-  /// Runs something after a delay, whoever lives then.
+  /// Runs an event after a delay, independent of any daemon.
   void Schedule(common::Duration delay, std::function<void()> event) {
-    this->events.emplace(this->real + delay, std::move(event));
+    this->events.emplace(this->real_time + delay, std::move(event));
   }
 
-  /// Delivers an event to the present incarnation of a daemon; while it is
-  /// paused the event waits.
-  void Send(Daemon& daemon, common::Duration delay,
-            std::function<void(Daemon&)> event) {
+  /// Delivers an event to the current run of a daemon. While the daemon is
+  /// paused, the event is deferred.
+  void SendToDaemon(Daemon& daemon, common::Duration delay,
+                    std::function<void(Daemon&)> event) {
     this->Schedule(delay, [&daemon, event = std::move(event),
                            incarnation = daemon.incarnation] {
       const auto handle = [&daemon, event, incarnation] {
@@ -287,7 +295,7 @@
         }
       };
       if (daemon.paused) {
-        daemon.inbox.emplace_back(handle);
+        daemon.deferred_events.emplace_back(handle);
       } else {
         handle();
       }
@@ -297,7 +305,7 @@
   void Deliver(common::Duration until) {
     while (!this->events.empty() && this->events.begin()->first <= until) {
       auto node = this->events.extract(this->events.begin());
-      this->real = std::max(this->real, node.key());
+      this->real_time = std::max(this->real_time, node.key());
       node.mapped()();
     }
   }
@@ -311,19 +319,19 @@
         }
       }
       for (const auto& daemon : this->daemons) {
-        daemon->lease->SetHosts(live[daemon->domain]);
+        daemon->lease_manager->SetHosts(live[daemon->domain]);
       }
     });
   }
 
-  void NoteLearned() {
+  void UpdateOutdatedLimits() {
     std::size_t oldest = this->limits.size();
     for (const auto& daemon : this->daemons) {
-      oldest = std::min(oldest, daemon->learned);
+      oldest = std::min(oldest, daemon->known_limits);
     }
     for (std::size_t version = 1; version < oldest; ++version) {
       common::Duration& until = this->limits[version - 1].until;
-      until = std::min(until, this->real + std::chrono::seconds(6));
+      until = std::min(until, this->real_time + std::chrono::seconds(6));
     }
   }
 
@@ -331,7 +339,7 @@
     return this->store_up && !daemon.store_cut;
   }
 
-  void CarryOut(Daemon& daemon, const SlotActions& actions) {
+  void PerformActions(Daemon& daemon, const SlotActions& actions) {
     for (const SlotAction& action : actions) {
       const common::SteadyTime now = this->Clock(daemon);
       std::visit(
@@ -339,13 +347,13 @@
               [&](const ReadSlots&) { this->Read(daemon); },
               [&](const UpdateSlots& update) { this->Update(daemon, update); },
               [&](const UseSlot& use) {
-                daemon.share->AddSlot(use.slot, use.lease_end, now);
+                daemon.limiter->AddSlot(use.slot, use.lease_end, now);
               },
               [&](const ExtendSlot& extend) {
-                daemon.share->RenewSlot(extend.slot, extend.lease_end, now);
+                daemon.limiter->RenewSlot(extend.slot, extend.lease_end, now);
               },
               [&](const StopSlot& stop) {
-                daemon.share->RemoveSlot(stop.slot, now);
+                daemon.limiter->RemoveSlot(stop.slot, now);
               }},
           action);
     }
@@ -354,23 +362,25 @@
   void Read(Daemon& daemon) {
     const common::SteadyTime sent = this->Clock(daemon);
     if (!this->ReachesStore(daemon)) {
-      this->Send(daemon, kCallTimeout, [this](Daemon& reader) {
-        this->CarryOut(reader, reader.lease->OnReadFailed(this->Clock(reader)));
+      this->SendToDaemon(daemon, kCallTimeout, [this](Daemon& reader) {
+        this->PerformActions(
+            reader, reader.lease_manager->OnReadFailed(this->Clock(reader)));
       });
       return;
     }
     const Store seen = this->stores[daemon.domain];
-    this->Send(daemon, kLatency, [this, seen, sent](Daemon& reader) {
-      this->CarryOut(reader, reader.lease->OnRead(seen.version, seen.content,
-                                                  sent, this->Clock(reader)));
+    this->SendToDaemon(daemon, kLatency, [this, seen, sent](Daemon& reader) {
+      this->PerformActions(
+          reader, reader.lease_manager->OnRead(seen.version, seen.content, sent,
+                                               this->Clock(reader)));
     });
   }
 
   void Update(Daemon& daemon, const UpdateSlots& update) {
     const auto lose_answer = [this, &daemon] {
-      this->Send(daemon, kCallTimeout, [this](Daemon& writer) {
-        this->CarryOut(writer,
-                       writer.lease->OnUpdateAnswerLost(this->Clock(writer)));
+      this->SendToDaemon(daemon, kCallTimeout, [this](Daemon& writer) {
+        this->PerformActions(writer, writer.lease_manager->OnUpdateAnswerLost(
+                                         this->Clock(writer)));
       });
     };
     if (!this->ReachesStore(daemon)) {
@@ -387,11 +397,13 @@
     }
     const bool applied = this->Apply(daemon.domain, update);
     const ObjectVersion version = this->stores[daemon.domain].version;
-    this->Send(daemon, kLatency, [this, applied, version](Daemon& writer) {
-      const common::SteadyTime now = this->Clock(writer);
-      this->CarryOut(writer, applied ? writer.lease->OnUpdated(version, now)
-                                     : writer.lease->OnUpdateConflicted(now));
-    });
+    this->SendToDaemon(
+        daemon, kLatency, [this, applied, version](Daemon& writer) {
+          const common::SteadyTime now = this->Clock(writer);
+          this->PerformActions(
+              writer, applied ? writer.lease_manager->OnUpdated(version, now)
+                              : writer.lease_manager->OnUpdateConflicted(now));
+        });
   }
 
   bool Apply(std::uint32_t domain, const UpdateSlots& update) {
@@ -413,11 +425,12 @@
     return nullptr;
   }
 
-  /// Asks the other daemons in turn, whether they live or not.
-  void AskForLoan(Daemon& daemon) {
+  /// Requests loans from the other daemons in turn, whether they are alive or
+  /// not.
+  void RequestLoan(Daemon& daemon) {
     const common::SteadyTime before = this->Clock(daemon);
     const std::optional<BorrowRequest> request =
-        daemon.share->NextBorrowRequest(before);
+        daemon.limiter->NextBorrowRequest(before);
     if (!request || daemon.peers_cut) {
       return;
     }
@@ -428,7 +441,7 @@
       }
     }
     const std::optional<common::HostId> choice =
-        daemon.lenders.Next(peers, before);
+        daemon.lender_selector.Select(peers, before);
     if (!choice) {
       return;
     }
@@ -441,28 +454,28 @@
         fault == LoanFault::kAnswerDelayed ? this->loan_delay : kLatency;
     const auto lend = [this, &daemon, before, fault, delay,
                        wanted = request->wanted](Daemon& peer) {
-      const RateLoan loan = peer.share->Lend(wanted, this->Clock(peer));
+      const RateLoan loan = peer.limiter->Lend(wanted, this->Clock(peer));
       const auto answer = [this, before, loan,
                            host = peer.host](Daemon& borrower) {
         const common::SteadyTime now = this->Clock(borrower);
-        borrower.lenders.OnAnswer(host, loan, now);
-        borrower.share->AcceptLoan(before, loan, now);
+        borrower.lender_selector.OnLoanReply(host, loan, now);
+        borrower.limiter->AcceptLoan(before, loan, now);
       };
       if (fault != LoanFault::kAnswerLost) {
-        this->Send(daemon, delay, answer);
+        this->SendToDaemon(daemon, delay, answer);
       }
       if (fault == LoanFault::kAnswerDuplicated) {
-        this->Send(daemon, delay + this->loan_delay, answer);
+        this->SendToDaemon(daemon, delay + this->loan_delay, answer);
       }
     };
-    this->Send(*lender, kLatency, lend);
+    this->SendToDaemon(*lender, kLatency, lend);
     if (fault == LoanFault::kRequestDuplicated) {
-      this->Send(*lender, this->loan_delay, lend);
+      this->SendToDaemon(*lender, this->loan_delay, lend);
     }
   }
 
   Options options;
-  common::Duration real = common::Duration::zero();
+  common::Duration real_time = common::Duration::zero();
   std::vector<std::unique_ptr<Daemon>> daemons;
   std::vector<Store> stores;
   std::vector<LimitsInForce> limits;
@@ -477,4 +490,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATION_H_
+#endif  // CAMPHORFERRY_UNIT_TESTS_PROCESS_RATE_LIMIT_SIMULATOR_H_
--- a/Source/UnitTests/Core/Process/rate_slot_lease_manager_test.cc
+++ b/Source/UnitTests/Core/Process/rate_slot_lease_manager_test.cc
@@ -38,11 +38,11 @@
     return this->daemons.back();
   }
 
-  /// Ticks a daemon and carries out its calls at once; returns what it said
-  /// about slots.
-  SlotActions Poll(RateSlotLeaseManager& daemon, SteadyTime now,
-                   Answer answer = Answer::kArrives) {
-    SlotActions said;
+  /// Ticks a daemon and performs its store calls at once; returns its other
+  /// actions.
+  SlotActions TickAndPerformCalls(RateSlotLeaseManager& daemon, SteadyTime now,
+                                  Answer answer = Answer::kArrives) {
+    SlotActions slot_actions;
     SlotActions actions = daemon.Tick(now);
     while (!actions.empty()) {
       SlotActions next;
@@ -52,12 +52,12 @@
         } else if (const auto* update = std::get_if<UpdateSlots>(&action)) {
           next = this->Update(daemon, *update, now, answer);
         } else {
-          said.push_back(action);
+          slot_actions.push_back(action);
         }
       }
       actions = next;
     }
-    return said;
+    return slot_actions;
   }
 
   SlotActions Update(RateSlotLeaseManager& daemon, const UpdateSlots& update,
@@ -76,22 +76,22 @@
     return daemon.OnUpdated(this->version, now);
   }
 
-  /// Polls all daemons once a second.
-  SteadyTime PollAll(SteadyTime from, Duration time) {
+  /// Ticks all daemons once a second.
+  SteadyTime TickAll(SteadyTime from, Duration time) {
     for (SteadyTime now = from; now < from + time; now += seconds(1)) {
       for (RateSlotLeaseManager& daemon : this->daemons) {
-        this->Poll(daemon, now);
+        this->TickAndPerformCalls(daemon, now);
       }
     }
     return from + time;
   }
 
-  std::vector<std::size_t> HeldNumbers(SteadyTime now) const {
-    std::vector<std::size_t> numbers;
+  std::vector<std::size_t> HeldSlotCounts(SteadyTime now) const {
+    std::vector<std::size_t> slot_counts;
     for (const RateSlotLeaseManager& daemon : this->daemons) {
-      numbers.push_back(daemon.HeldSlots(now).size());
+      slot_counts.push_back(daemon.HeldSlots(now).size());
     }
-    return numbers;
+    return slot_counts;
   }
 
   std::deque<RateSlotLeaseManager> daemons;
@@ -101,7 +101,7 @@
   int updates = 0;
 };
 
-// Guards against holders that are forgotten because the document is misread.
+// Guards against holders that are lost because the document is parsed wrongly.
 TEST_F(RateSlotLeaseManagerTest, Document_RoundTrip_IsUnchanged) {
   const SlotDocument document{SlotRecord{HostNumber(1), 7, 8, 9}, std::nullopt};
   EXPECT_EQ(ParseSlotDocument(FormatSlotDocument(document)), document);
@@ -110,33 +110,33 @@
                BadSlotDocumentError);
 }
 
-// Guards against slots that nobody holds while all daemons live, also when
-// they do not divide evenly.
+// Guards against slots that no daemon holds while all daemons are live, also if
+// the slots do not divide evenly.
 TEST_F(RateSlotLeaseManagerTest, AllDaemonsLive_AfterStart_AllSlotsAreHeld) {
   for (int number = 0; number < 3; ++number) {
     this->AddDaemon(number);
   }
-  const SteadyTime now = this->PollAll(kStart, minutes(3));
-  const std::vector<std::size_t> numbers = this->HeldNumbers(now);
-  EXPECT_EQ(std::multiset<std::size_t>(numbers.begin(), numbers.end()),
+  const SteadyTime now = this->TickAll(kStart, minutes(3));
+  const std::vector<std::size_t> slot_counts = this->HeldSlotCounts(now);
+  EXPECT_EQ(std::multiset<std::size_t>(slot_counts.begin(), slot_counts.end()),
             (std::multiset<std::size_t>{2, 3, 3}));
 }
 
 // Guards against a daemon that keeps the slots of those that started later.
 TEST_F(RateSlotLeaseManagerTest, OneHoldsAll_OthersStart_EachGetsOne) {
   RateSlotLeaseManager& first = this->AddDaemon(0);
-  this->PollAll(kStart, seconds(1));
+  this->TickAll(kStart, seconds(1));
   EXPECT_EQ(first.HeldSlots(kStart).size(), 8);
   for (int number = 1; number < 8; ++number) {
     this->AddDaemon(number);
   }
-  const SteadyTime now = this->PollAll(kStart + seconds(1), minutes(3));
-  EXPECT_EQ(this->HeldNumbers(now), std::vector<std::size_t>(8, 1));
+  const SteadyTime now = this->TickAll(kStart + seconds(1), minutes(3));
+  EXPECT_EQ(this->HeldSlotCounts(now), std::vector<std::size_t>(8, 1));
 }
 
-// Guards against a lease counted from the answer, and against a lost renewal.
-TEST_F(RateSlotLeaseManagerTest,
-       Holder_Renewal_IsEveryTenMinutesFromBeforeTheCall) {
+// Guards against a lease counted from the response, and against a missed
+// renewal.
+TEST_F(RateSlotLeaseManagerTest, Holder_Renewal_IsEveryTenMinutesFromSendTime) {
   RateSlotLeaseManager& daemon = this->AddDaemon(0);
   ASSERT_EQ(daemon.Tick(kStart).size(), 1);
   const SteadyTime read = kStart + seconds(1);
@@ -151,86 +151,91 @@
             read + HolderPeriod(kSlotLeaseDuration));
 
   const SteadyTime due = read + kSlotRenewalInterval;
-  EXPECT_TRUE(this->Poll(daemon, due - Duration(1)).empty());
-  const SlotActions extended = this->Poll(daemon, due);
+  EXPECT_TRUE(this->TickAndPerformCalls(daemon, due - Duration(1)).empty());
+  const SlotActions extended = this->TickAndPerformCalls(daemon, due);
   ASSERT_EQ(extended.size(), 8);
   EXPECT_EQ(std::get<ExtendSlot>(extended[0]).lease_end,
             due + HolderPeriod(kSlotLeaseDuration));
 }
 
-// Guards against a killed holder's slot that is taken while its lease runs.
+// Guards against a killed holder's slot that is acquired before its lease has
+// expired.
 TEST_F(RateSlotLeaseManagerTest,
-       HolderKilled_OtherDaemon_TakesOnlyAfterTheLease) {
-  this->Poll(this->AddDaemon(0), kStart);
+       HolderKilled_OtherDaemon_AcquiresOnlyAfterLease) {
+  this->TickAndPerformCalls(this->AddDaemon(0), kStart);
   this->daemons.pop_front();
   this->hosts.clear();
-  RateSlotLeaseManager& taker = this->AddDaemon(1);
+  RateSlotLeaseManager& other = this->AddDaemon(1);
   const SteadyTime free = kStart + GrantorPeriod(kSlotLeaseDuration);
-  SteadyTime now = this->PollAll(kStart, GrantorPeriod(kSlotLeaseDuration));
+  SteadyTime now = this->TickAll(kStart, GrantorPeriod(kSlotLeaseDuration));
   EXPECT_EQ(now, free);
-  EXPECT_TRUE(taker.HeldSlots(now).empty());
-  now = this->PollAll(now, minutes(2));
-  EXPECT_EQ(taker.HeldSlots(now).size(), 8);
+  EXPECT_TRUE(other.HeldSlots(now).empty());
+  now = this->TickAll(now, minutes(2));
+  EXPECT_EQ(other.HeldSlots(now).size(), 8);
 }
 
-// Guards against a taker that counts the time of a pause in which the holder
-// renewed.
-TEST_F(RateSlotLeaseManagerTest, TakerPaused_HolderRenewed_DoesNotTake) {
+// Guards against a daemon that counts the time of its own pause, in which the
+// holder renewed.
+TEST_F(RateSlotLeaseManagerTest,
+       OtherDaemonPaused_HolderRenewed_AcquiresNothing) {
   RateSlotLeaseManager& holder = this->AddDaemon(0);
-  this->Poll(holder, kStart);
-  RateSlotLeaseManager& taker = this->AddDaemon(1);
+  this->TickAndPerformCalls(holder, kStart);
+  RateSlotLeaseManager& other = this->AddDaemon(1);
   holder.SetHosts({HostNumber(0)});
-  this->Poll(taker, kStart);
-  this->Poll(holder, kStart + minutes(80));
-  this->Poll(taker, kStart + minutes(100));
-  EXPECT_TRUE(taker.HeldSlots(kStart + minutes(100)).empty());
+  this->TickAndPerformCalls(other, kStart);
+  this->TickAndPerformCalls(holder, kStart + minutes(80));
+  this->TickAndPerformCalls(other, kStart + minutes(100));
+  EXPECT_TRUE(other.HeldSlots(kStart + minutes(100)).empty());
   EXPECT_EQ(holder.HeldSlots(kStart + minutes(100)).size(), 8);
-  // The second record in turn is unchanged for long enough at this read.
-  this->Poll(taker, kStart + minutes(191));
-  EXPECT_FALSE(taker.HeldSlots(kStart + minutes(191)).empty());
+  // The renewed record has been unchanged for long enough at this read.
+  this->TickAndPerformCalls(other, kStart + minutes(191));
+  EXPECT_FALSE(other.HeldSlots(kStart + minutes(191)).empty());
 }
 
-// Guards against the use of a slot whose taking did not take effect, and
-// against a slot that is lost because the answer was.
-TEST_F(RateSlotLeaseManagerTest, AnswerLost_Slots_AreUsedOnlyAfterARead) {
+// Guards against the use of a slot whose acquisition did not take effect, and
+// against a slot that is lost because the response was.
+TEST_F(RateSlotLeaseManagerTest, UpdateAnswerLost_Slots_AreUsedOnlyAfterRead) {
   RateSlotLeaseManager& daemon = this->AddDaemon(0);
-  EXPECT_TRUE(this->Poll(daemon, kStart, Answer::kLostWithoutEffect).empty());
+  EXPECT_TRUE(
+      this->TickAndPerformCalls(daemon, kStart, Answer::kLostWithoutEffect)
+          .empty());
   EXPECT_EQ(this->updates, 0);
   const SteadyTime sent = kStart + seconds(1);
-  EXPECT_TRUE(this->Poll(daemon, sent, Answer::kLost).empty());
+  EXPECT_TRUE(this->TickAndPerformCalls(daemon, sent, Answer::kLost).empty());
   EXPECT_EQ(this->updates, 1);
   EXPECT_TRUE(daemon.HeldSlots(sent).empty());
-  const SlotActions actions = this->Poll(daemon, sent + seconds(2));
+  const SlotActions actions =
+      this->TickAndPerformCalls(daemon, sent + seconds(2));
   ASSERT_EQ(actions.size(), 8);
   EXPECT_EQ(std::get<UseSlot>(actions[0]).lease_end,
             sent + HolderPeriod(kSlotLeaseDuration));
 }
 
-// Guards against a slot released while loans from it run, and against a wait
-// for the lease after a graceful stop.
+// Guards against a slot that is released while loans from it run, and against
+// waiting for the lease to expire after a graceful stop.
 TEST_F(RateSlotLeaseManagerTest,
-       Drain_Slots_AreStoppedAtOnceAndFreeAfterTheLoans) {
+       Drain_Slots_AreUnusedAtOnceAndReleasedAfterLoans) {
   RateSlotLeaseManager& holder = this->AddDaemon(0);
-  this->Poll(holder, kStart);
+  this->TickAndPerformCalls(holder, kStart);
   const SlotActions stopped = holder.Drain(kStart + minutes(1));
   ASSERT_EQ(stopped.size(), 8);
   EXPECT_TRUE(std::holds_alternative<StopSlot>(stopped[0]));
   const SteadyTime released =
       kStart + minutes(1) + GrantorPeriod(kLoanDuration);
-  this->Poll(holder, kStart + minutes(1));
-  this->Poll(holder, released - Duration(1));
+  this->TickAndPerformCalls(holder, kStart + minutes(1));
+  this->TickAndPerformCalls(holder, released - Duration(1));
   EXPECT_FALSE(holder.Drained());
-  this->Poll(holder, released);
+  this->TickAndPerformCalls(holder, released);
   EXPECT_TRUE(holder.Drained());
   this->hosts.clear();
-  RateSlotLeaseManager& taker = this->AddDaemon(1);
-  this->Poll(taker, released);
-  EXPECT_EQ(taker.HeldSlots(released).size(), 8);
+  RateSlotLeaseManager& other = this->AddDaemon(1);
+  this->TickAndPerformCalls(other, released);
+  EXPECT_EQ(other.HeldSlots(released).size(), 8);
 }
 
-// Guards against a daemon that fills the store with calls, or stops calling,
+// Guards against a daemon that floods the store with calls, or stops calling,
 // after conflicts and failures.
-TEST_F(RateSlotLeaseManagerTest, StoreFails_Retries_BecomeRareAndGoOn) {
+TEST_F(RateSlotLeaseManagerTest, StoreFails_Retries_SlowDownAndContinue) {
   RateSlotLeaseManager& daemon = this->AddDaemon(0);
   int reads = 0;
   for (SteadyTime now = kStart; now < kStart + hours(1);
