--- a/Source/Core/Process/client_task.cc
+++ b/Source/Core/Process/client_http_server.cc
@@ -1,4 +1,4 @@
-#include "Process/client_task.h"
+#include "Process/client_http_server.h"
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 constexpr char kBearer[] = "Bearer ";
 
-/// The client's key is in another scheme than Bearer.
+/// The Authorization header uses another scheme than Bearer.
 class UnknownKeySchemeError : public common::Error {
  public:
   UnknownKeySchemeError() : Error("expected Authorization: Bearer KEY") {}
@@ -31,9 +31,10 @@
 
 }  // namespace
 
-ClientTask::ClientTask(connection::EventLoop* loop,
-                       const connection::SocketAddress& address,
-                       RequestContext* context, std::function<bool()> ready)
+ClientHttpServer::ClientHttpServer(connection::EventLoop* loop,
+                                   const connection::SocketAddress& address,
+                                   RequestContext* context,
+                                   std::function<bool()> ready)
     : context(context),
       ready(std::move(ready)),
       server(
@@ -42,10 +43,10 @@
             this->OnRequest(request, std::move(responder));
           }) {}
 
-void ClientTask::OnRequest(const connection::HttpRequest& request,
-                           Responder responder) {
-  constexpr int kNotFound = 404;
-  constexpr int kUnavailable = 503;
+void ClientHttpServer::OnRequest(const connection::HttpRequest& request,
+                                 Responder responder) {
+  constexpr int kHttpNotFound = 404;
+  constexpr int kHttpUnavailable = 503;
   if (request.path == "/v1/statement" && request.method == "POST") {
     this->OnStatement(request, std::move(responder));
     return;
@@ -56,19 +57,19 @@
   }
   if (request.path == "/readyz") {
     const bool is_ready = this->ready();
-    responder->Send(TextResponse(is_ready ? 200 : kUnavailable,
+    responder->Send(TextResponse(is_ready ? 200 : kHttpUnavailable,
                                  is_ready ? "ready\n" : "not ready\n"));
     return;
   }
-  responder->Send(TextResponse(kNotFound, "unknown path\n"));
+  responder->Send(TextResponse(kHttpNotFound, "unknown path\n"));
 }
 
-void ClientTask::OnStatement(const connection::HttpRequest& request,
-                             Responder responder) {
+void ClientHttpServer::OnStatement(const connection::HttpRequest& request,
+                                   Responder responder) {
   const std::string generated = std::to_string(this->context->random());
   const std::string request_id =
       request::RequestIdOrGenerated(request.headers, generated);
-  const auto refuse = [&](request::NotRunReason reason) {
+  const auto reject = [&](request::NotRunReason reason) {
     this->Answer(responder, request_id,
                  {request::NotRun{reason, std::nullopt}, ""});
   };
@@ -83,16 +84,16 @@
         })
         ->Start();
   } catch (const UnknownKeySchemeError&) {
-    refuse(request::NotRunReason::kUnknownKey);
+    reject(request::NotRunReason::kUnknownKey);
   } catch (const common::Error& error) {
-    refuse(request::RefusalReason(error).value_or(
+    reject(request::RefusalReason(error).value_or(
         request::NotRunReason::kBadRequest));
   }
 }
 
-void ClientTask::Answer(const Responder& responder,
-                        const std::string& request_id,
-                        const RequestAnswer& answer) {
+void ClientHttpServer::Answer(const Responder& responder,
+                              const std::string& request_id,
+                              const RequestAnswer& answer) {
   connection::HttpResponse response;
   response.status = request::HttpStatus(answer.outcome);
   response.headers["Content-Type"] = "application/json";
--- a/Source/Core/Process/client_task.h
+++ b/Source/Core/Process/client_http_server.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_CLIENT_TASK_H_
-#define CAMPHORFERRY_PROCESS_CLIENT_TASK_H_
+#ifndef CAMPHORFERRY_PROCESS_CLIENT_HTTP_SERVER_H_
+#define CAMPHORFERRY_PROCESS_CLIENT_HTTP_SERVER_H_
 
 #include <functional>
 #include <memory>
@@ -9,20 +9,20 @@
 
 namespace camphorferry::process {
 
-/// Serves the clients' listener: statements, liveness and readiness.
-class ClientTask {
+/// HTTP server for clients: statements, liveness and readiness.
+class ClientHttpServer {
  public:
-  /// The function says whether the daemon is ready for clients.
-  ClientTask(connection::EventLoop* loop,
-             const connection::SocketAddress& address, RequestContext* context,
-             std::function<bool()> ready);
+  /// `ready` tells whether the daemon accepts requests of clients.
+  ClientHttpServer(connection::EventLoop* loop,
+                   const connection::SocketAddress& address,
+                   RequestContext* context, std::function<bool()> ready);
 
   std::uint16_t Port() const { return this->server.Port(); }
 
-  /// Closes the listening socket; requests on open connections go on.
+  /// Closes the listening socket. Requests on open connections continue.
   void StopListening() { this->server.StopListening(); }
 
-  /// Requests that have no answer yet.
+  /// Number of requests that have not been answered yet.
   std::size_t ActiveRequests() const { return this->server.ActiveRequests(); }
 
   std::size_t OpenConnections() const { return this->server.OpenConnections(); }
@@ -42,4 +42,4 @@
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_CLIENT_TASK_H_
+#endif  // CAMPHORFERRY_PROCESS_CLIENT_HTTP_SERVER_H_
--- a/Source/Core/Process/daemon.h
+++ b/Source/Core/Process/daemon.h
@@ -4,32 +4,32 @@
 #include <memory>
 #include <set>
 
-#include "Process/client_task.h"
+#include "Process/client_http_server.h"
 #include "Process/configuration_task.h"
 #include "Process/endpoint_owner.h"
-#include "Process/grpc_peer_link.h"
+#include "Process/grpc_peer_client.h"
 #include "Process/grpc_peer_server.h"
 #include "Process/membership_task.h"
-#include "Process/operator_task.h"
-#include "Process/rate_task.h"
+#include "Process/operator_http_server.h"
+#include "Process/rate_limit_task.h"
 #include "Process/request_context.h"
 #include "Process/settings.h"
 #include "Process/statement_router.h"
 
 namespace camphorferry::process {
 
-/// All tasks of one daemon and what passes between them.
+/// The daemon process: creates all servers and tasks and connects them.
 class Daemon : public PeerHandler {
  public:
   /// Opens the listeners; throws ListenError or PeerListenError.
   explicit Daemon(const Settings& settings);
   ~Daemon() override;
 
-  /// Runs until a shutdown is complete.
+  /// Runs the event loop until a shutdown is complete.
   void Run();
 
-  std::uint16_t ClientPort() const { return this->clients->Port(); }
-  std::uint16_t OperatorPort() const { return this->operators->Port(); }
+  std::uint16_t ClientPort() const { return this->client_server->Port(); }
+  std::uint16_t OperatorPort() const { return this->operator_server->Port(); }
   std::uint16_t PeerPort() const { return this->peer_server->Port(); }
 
   void OnExecute(connection::StatementCall call,
@@ -46,7 +46,7 @@
 
  private:
   void OnConfiguration(const version::ConfigurationPointer& configuration);
-  /// Derives ownership, watchers and lenders from the present membership.
+  /// Updates ownership, watchers and lenders after a heartbeat round.
   void OnMembershipRound();
   void UpdateOwnership();
   bool Ready() const;
@@ -62,20 +62,20 @@
   EventLog events;
   Counters counters;
   connection::HttpObjectStore store;
-  GrpcPeerLink peers;
+  GrpcPeerClient peers;
   Membership membership;
   PrimaryDirectory primaries;
   StatementRouter router;
-  EndpointOwner owner;
-  RateTask rates;
+  EndpointOwner endpoint_owner;
+  RateLimitTask rates;
   ConfigurationTask configuration;
   MembershipTask membership_task;
-  RequestContext requests;
+  RequestContext request_context;
   std::unique_ptr<GrpcPeerServer> peer_server;
-  std::unique_ptr<ClientTask> clients;
-  std::unique_ptr<OperatorTask> operators;
-  bool announced_live = false;
-  /// Live daemons at the last update of ownership.
+  std::unique_ptr<ClientHttpServer> client_server;
+  std::unique_ptr<OperatorHttpServer> operator_server;
+  bool reported_live = false;
+  /// Live daemons at the last ownership update.
   std::set<common::HostId> live_hosts;
   common::SteadyTime drain_deadline;
   std::unique_ptr<connection::Timer> drain_timer;
--- a/Source/Core/Process/grpc_peer_link.h
+++ b/Source/Core/Process/grpc_peer_client.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_PROCESS_GRPC_PEER_LINK_H_
-#define CAMPHORFERRY_PROCESS_GRPC_PEER_LINK_H_
+#ifndef CAMPHORFERRY_PROCESS_GRPC_PEER_CLIENT_H_
+#define CAMPHORFERRY_PROCESS_GRPC_PEER_CLIENT_H_
 
 #include <grpcpp/grpcpp.h>
 
@@ -8,19 +8,20 @@
 #include <string>
 
 #include "Process/event_log.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "peer.grpc.pb.h"
 
 namespace camphorferry::process {
 
-/// Peer link over gRPC. gRPC's threads only post the answers to the event loop.
-class GrpcPeerLink : public PeerLink {
+/// PeerClient over gRPC. gRPC's threads only post the responses to the event
+/// loop.
+class GrpcPeerClient : public PeerClient {
  public:
-  /// The event log gives the clock readings that messages carry.
-  GrpcPeerLink(connection::EventLoop* loop, EventLog* events);
-  ~GrpcPeerLink() override;
+  /// The event log provides the hybrid timestamps that messages carry.
+  GrpcPeerClient(connection::EventLoop* loop, EventLog* events);
+  ~GrpcPeerClient() override;
 
-  /// Sets the address of a peer; a changed address replaces the channel.
+  /// Sets the address of a peer. A changed address replaces the channel.
   void SetAddress(const common::HostId& peer, const std::string& address);
 
   void Execute(const common::HostId& peer,
@@ -61,10 +62,11 @@
   connection::EventLoop* loop;
   EventLog* events;
   std::map<common::HostId, Peer> peers;
-  /// Cleared when the link is destroyed, so that late answers are dropped.
+  /// Set to false when the client is destroyed, so that late responses are
+  /// dropped.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
 }  // namespace camphorferry::process
 
-#endif  // CAMPHORFERRY_PROCESS_GRPC_PEER_LINK_H_
+#endif  // CAMPHORFERRY_PROCESS_GRPC_PEER_CLIENT_H_
--- a/Source/Core/Process/grpc_peer_server.h
+++ b/Source/Core/Process/grpc_peer_server.h
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "Process/event_log.h"
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "peer.grpc.pb.h"
 
 namespace camphorferry::process {
@@ -29,7 +29,8 @@
 
   std::uint16_t Port() const { return this->port; }
 
-  /// Refuses new calls and waits for the running ones, at most the time given.
+  /// Rejects new calls and waits for the running ones, at most for the given
+  /// time.
   void Shutdown(common::Duration grace);
 
  private:
--- a/Source/Core/Process/peer_codec.h
+++ b/Source/Core/Process/peer_codec.h
@@ -1,14 +1,14 @@
 #ifndef CAMPHORFERRY_PROCESS_PEER_CODEC_H_
 #define CAMPHORFERRY_PROCESS_PEER_CODEC_H_
 
-#include "Process/peer_link.h"
+#include "Process/peer_client.h"
 #include "peer.pb.h"
 
 namespace camphorferry::process {
 
-/// Conversions between the peer protocol's messages and the types of the peer
-/// port. Deadlines travel as time left, since steady clocks of two hosts can't
-/// be compared.
+/// Conversions between the messages of the peer protocol and the types of
+/// PeerClient. Deadlines are sent as remaining time, since the steady clocks of
+/// two hosts cannot be compared.
 peer::v1::ExecuteRequest ToMessage(const connection::StatementCall& call,
                                    common::SteadyTime now);
 connection::StatementCall FromMessage(const peer::v1::ExecuteRequest& message,
--- a/Source/Core/Process/request_context.h
+++ b/Source/Core/Process/request_context.h
@@ -9,18 +9,19 @@
 #include "Process/counters.h"
 #include "Process/endpoint_directory.h"
 #include "Process/primary_directory.h"
-#include "Process/rate_task.h"
+#include "Process/rate_limit_task.h"
 #include "Process/statement_router.h"
 #include "Request/request.h"
 #include "Version/version.h"
 
 namespace camphorferry::process {
 
-/// What every request of this daemon uses. It lives as long as the process;
-/// configuration and keys change with each version.
+/// Shared state of all requests of this daemon. It lives as long as the
+/// process; configuration and keys are replaced with each configuration
+/// version.
 struct RequestContext {
   connection::EventLoop* loop = nullptr;
-  RateTask* rates = nullptr;
+  RateLimitTask* rates = nullptr;
   PrimaryDirectory* primaries = nullptr;
   EndpointDirectory endpoints;
   StatementRouter* router = nullptr;
