--- a/Source/Soak/database_group.h
+++ b/Source/Soak/database_group.h
@@ -8,8 +8,8 @@
 
 #include "fake_database.h"
 #include "fake_store.h"
-#include "link_relay.h"
-#include "promise_checker.h"
+#include "guarantee_checker.h"
+#include "tcp_relay.h"
 
 namespace camphorferry::soak {
 
--- a/Source/Soak/promise_checker.cc
+++ b/Source/Soak/guarantee_checker.cc
@@ -1,4 +1,4 @@
-#include "promise_checker.h"
+#include "guarantee_checker.h"
 
 #include <algorithm>
 
--- a/Source/Soak/promise_checker.h
+++ b/Source/Soak/guarantee_checker.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_SOAK_PROMISE_CHECKER_H_
-#define CAMPHORFERRY_SOAK_PROMISE_CHECKER_H_
+#ifndef CAMPHORFERRY_SOAK_GUARANTEE_CHECKER_H_
+#define CAMPHORFERRY_SOAK_GUARANTEE_CHECKER_H_
 
 #include <cstddef>
 #include <deque>
@@ -99,4 +99,4 @@
 
 }  // namespace camphorferry::soak
 
-#endif  // CAMPHORFERRY_SOAK_PROMISE_CHECKER_H_
+#endif  // CAMPHORFERRY_SOAK_GUARANTEE_CHECKER_H_
--- a/Source/Soak/soak_client.h
+++ b/Source/Soak/soak_client.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "Session/message_stream.h"
-#include "promise_checker.h"
+#include "guarantee_checker.h"
 #include "proxy_process.h"
 
 namespace camphorferry::soak {
--- a/Source/Soak/soak_run.h
+++ b/Source/Soak/soak_run.h
@@ -8,7 +8,7 @@
 #include "database_group.h"
 #include "fake_store.h"
 #include "fault_schedule.h"
-#include "promise_checker.h"
+#include "guarantee_checker.h"
 #include "proxy_process.h"
 #include "soak_client.h"
 
--- a/Source/Soak/link_relay.cc
+++ b/Source/Soak/tcp_relay.cc
@@ -1,4 +1,4 @@
-#include "link_relay.h"
+#include "tcp_relay.h"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
--- a/Source/Soak/link_relay.h
+++ b/Source/Soak/tcp_relay.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_SOAK_LINK_RELAY_H_
-#define CAMPHORFERRY_SOAK_LINK_RELAY_H_
+#ifndef CAMPHORFERRY_SOAK_TCP_RELAY_H_
+#define CAMPHORFERRY_SOAK_TCP_RELAY_H_
 
 #include <map>
 #include <memory>
@@ -68,4 +68,4 @@
 
 }  // namespace camphorferry::soak
 
-#endif  // CAMPHORFERRY_SOAK_LINK_RELAY_H_
+#endif  // CAMPHORFERRY_SOAK_TCP_RELAY_H_
--- a/Source/StandIns/database_server.h
+++ b/Source/StandIns/database_server.h
@@ -6,11 +6,11 @@
 #include <string>
 
 #include "Connection/connection.h"
-#include "StandIns/answer_gate.h"
-#include "StandIns/change_waiters.h"
 #include "StandIns/database_core.h"
 #include "StandIns/database_messages.h"
 #include "StandIns/database_settings.h"
+#include "StandIns/long_poll_waiters.h"
+#include "StandIns/network_fault_injector.h"
 #include "StandIns/replication_puller.h"
 #include "StandIns/statement_slots.h"
 
--- a/Source/StandIns/change_waiters.cc
+++ b/Source/StandIns/long_poll_waiters.cc
@@ -1,4 +1,4 @@
-#include "StandIns/change_waiters.h"
+#include "StandIns/long_poll_waiters.h"
 
 #include <utility>
 #include <vector>
--- a/Source/StandIns/change_waiters.h
+++ b/Source/StandIns/long_poll_waiters.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_STANDINS_CHANGE_WAITERS_H_
-#define CAMPHORFERRY_STANDINS_CHANGE_WAITERS_H_
+#ifndef CAMPHORFERRY_STANDINS_LONG_POLL_WAITERS_H_
+#define CAMPHORFERRY_STANDINS_LONG_POLL_WAITERS_H_
 
 #include <cstdint>
 #include <functional>
@@ -41,4 +41,4 @@
 
 }  // namespace camphorferry::standins
 
-#endif  // CAMPHORFERRY_STANDINS_CHANGE_WAITERS_H_
+#endif  // CAMPHORFERRY_STANDINS_LONG_POLL_WAITERS_H_
--- a/Source/StandIns/platform_server.h
+++ b/Source/StandIns/platform_server.h
@@ -8,7 +8,7 @@
 
 #include "Common/common.h"
 #include "Connection/connection.h"
-#include "StandIns/change_waiters.h"
+#include "StandIns/long_poll_waiters.h"
 #include "StandIns/object_store_core.h"
 #include "StandIns/platform_directory.h"
 
--- a/Source/StandIns/replication_puller.h
+++ b/Source/StandIns/replication_puller.h
@@ -7,8 +7,8 @@
 
 #include "Common/common.h"
 #include "Connection/connection.h"
-#include "StandIns/answer_gate.h"
 #include "StandIns/database_core.h"
+#include "StandIns/network_fault_injector.h"
 
 namespace camphorferry::standins {
 
--- a/Source/UnitTests/StandIns/answer_gate_test.cc
+++ b/Source/UnitTests/StandIns/network_fault_injector_test.cc
@@ -1,4 +1,4 @@
-#include "StandIns/answer_gate.h"
+#include "StandIns/network_fault_injector.h"
 
 #include <gtest/gtest.h>
 
