--- a/Source/StandIns/command_line.cc
+++ b/Source/StandIns/command_line.cc
@@ -17,42 +17,42 @@
 
 }  // namespace
 
-void CommandLine::AddText(const char* name, const char* value_name,
-                          const char* help, std::string* target) {
-  Slot slot;
-  slot.assign = [target](const Slot& given) {
-    if (given.text != nullptr) *target = given.text;
+void CommandLine::AddString(const char* name, const char* value_name,
+                            const char* help, std::string* target) {
+  OptionValue item;
+  item.assign = [target](const OptionValue& parsed) {
+    if (parsed.text != nullptr) *target = parsed.text;
     return true;
   };
-  this->Add(name, POPT_ARG_STRING, value_name, help, std::move(slot));
+  this->Add(name, POPT_ARG_STRING, value_name, help, std::move(item));
 }
 
 void CommandLine::AddNumber(const char* name, const char* value_name,
                             const char* help, std::uint32_t* target) {
-  Slot slot;
-  slot.number = static_cast<int>(*target);
-  slot.assign = [target](const Slot& given) {
-    if (given.number < 0) return false;
-    *target = static_cast<std::uint32_t>(given.number);
+  OptionValue item;
+  item.number = static_cast<int>(*target);
+  item.assign = [target](const OptionValue& parsed) {
+    if (parsed.number < 0) return false;
+    *target = static_cast<std::uint32_t>(parsed.number);
     return true;
   };
-  this->Add(name, POPT_ARG_INT, value_name, help, std::move(slot));
+  this->Add(name, POPT_ARG_INT, value_name, help, std::move(item));
 }
 
 void CommandLine::AddFlag(const char* name, const char* help, bool* target) {
-  Slot slot;
-  slot.assign = [target](const Slot& given) {
-    *target = given.number != 0;
+  OptionValue item;
+  item.assign = [target](const OptionValue& parsed) {
+    *target = parsed.number != 0;
     return true;
   };
-  this->Add(name, POPT_ARG_NONE, nullptr, help, std::move(slot));
+  this->Add(name, POPT_ARG_NONE, nullptr, help, std::move(item));
 }
 
 void CommandLine::Add(const char* name, int kind, const char* value_name,
-                      const char* help, Slot slot) {
-  slot.name = name;
-  this->slots.push_back(std::move(slot));
-  Slot& stored = this->slots.back();
+                      const char* help, OptionValue item) {
+  item.name = name;
+  this->items.push_back(std::move(item));
+  OptionValue& stored = this->items.back();
   void* value = kind == POPT_ARG_STRING ? static_cast<void*>(&stored.text)
                                         : static_cast<void*>(&stored.number);
   this->options.push_back({name, '\0', static_cast<unsigned int>(kind), value,
@@ -83,15 +83,15 @@
   if (extra != nullptr) {
     return this->UsageError("unexpected argument " + std::string(extra));
   }
-  return this->Finish();
+  return this->AssignTargets();
 }
 
-std::optional<int> CommandLine::Finish() {
-  for (Slot& slot : this->slots) {
-    const bool assigned = slot.assign(slot);
-    std::free(slot.text);
-    slot.text = nullptr;
-    if (!assigned) return this->UsageError("--" + slot.name + ": out of range");
+std::optional<int> CommandLine::AssignTargets() {
+  for (OptionValue& item : this->items) {
+    const bool assigned = item.assign(item);
+    std::free(item.text);
+    item.text = nullptr;
+    if (!assigned) return this->UsageError("--" + item.name + ": out of range");
   }
   return std::nullopt;
 }
--- a/Source/StandIns/command_line.h
+++ b/Source/StandIns/command_line.h
@@ -18,41 +18,41 @@
 inline constexpr int kExitFailure = 1;
 inline constexpr int kExitUsage = 2;
 
-/// Options of a stand-in's command line. All are long options; --help and
-/// --version are always present.
+/// Command line parser of a stand-in process. All options are long options;
+/// --help and --version are always present.
 class CommandLine {
  public:
   explicit CommandLine(std::string program) : program(std::move(program)) {}
 
-  void AddText(const char* name, const char* value_name, const char* help,
-               std::string* target);
+  void AddString(const char* name, const char* value_name, const char* help,
+                 std::string* target);
   void AddNumber(const char* name, const char* value_name, const char* help,
                  std::uint32_t* target);
   void AddFlag(const char* name, const char* help, bool* target);
 
-  /// Reads the arguments into the targets. Returns the code to exit with if
-  /// the process is to end now.
+  /// Parses the arguments into the targets. Returns an exit code if the process
+  /// must exit now, because of a usage error, --help or --version.
   std::optional<int> Parse(int argc, const char** argv);
 
-  /// Reports wrong usage on standard error; returns the code to exit with.
+  /// Prints a usage error to standard error and returns the exit code.
   int UsageError(const std::string& message) const;
 
  private:
-  /// One option's value as popt stores it.
-  struct Slot {
+  /// Value of one option, in the form that popt stores.
+  struct OptionValue {
     char* text = nullptr;
     int number = 0;
     std::string name;
-    /// Copies the value to its target; false if it is out of range.
-    std::function<bool(const Slot&)> assign;
+    /// Copies the value to its target. Returns false if it is out of range.
+    std::function<bool(const OptionValue&)> assign;
   };
 
-  std::optional<int> Finish();
+  std::optional<int> AssignTargets();
   void Add(const char* name, int kind, const char* value_name, const char* help,
-           Slot slot);
+           OptionValue item);
 
   std::string program;
-  std::deque<Slot> slots;
+  std::deque<OptionValue> items;
   std::vector<poptOption> options;
 };
 
--- a/Source/StandIns/database_control.cc
+++ b/Source/StandIns/database_control.cc
@@ -18,10 +18,10 @@
       server(loop, address, connection::HttpServerLimits(),
              [this](const HttpRequest& request,
                     const std::shared_ptr<HttpResponder>& responder) {
-               responder->Send(this->Answer(request));
+               responder->Send(this->HandleRequest(request));
              }) {}
 
-HttpResponse DatabaseControl::Answer(const HttpRequest& request) {
+HttpResponse DatabaseControl::HandleRequest(const HttpRequest& request) {
   const std::string call = request.method + " " + request.path;
   try {
     if (call == "POST /control/faults") return this->SetFaults(request.body);
@@ -39,15 +39,15 @@
   MessageReader message(body);
   DatabaseFaults faults = this->database->Faults();
   if (message.Has("isolated")) faults.isolated = message.Boolean("isolated");
-  const bool silence =
+  const bool silence_open =
       message.Has("silence_open") && message.Boolean("silence_open");
   faults.replication_delay = message.Milliseconds("replication_delay_ms")
                                  .value_or(faults.replication_delay);
   faults.statement_delay = message.Milliseconds("statement_delay_ms")
                                .value_or(faults.statement_delay);
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   this->database->SetFaults(faults);
-  if (silence) this->database->SilenceOpen();
+  if (silence_open) this->database->SilenceOpenConnections();
   return this->FaultsResponse();
 }
 
--- a/Source/StandIns/database_control.h
+++ b/Source/StandIns/database_control.h
@@ -9,8 +9,8 @@
 
 namespace camphorferry::standins {
 
-/// Listener through which tests inject faults into a database. It answers
-/// while the database is isolated.
+/// HTTP server through which tests inject faults into a database and read its
+/// state. It responds even while the database is isolated.
 class DatabaseControl {
  public:
   DatabaseControl(connection::EventLoop* loop,
@@ -20,7 +20,8 @@
   std::uint16_t Port() const { return this->server.Port(); }
 
  private:
-  connection::HttpResponse Answer(const connection::HttpRequest& request);
+  connection::HttpResponse HandleRequest(
+      const connection::HttpRequest& request);
   connection::HttpResponse SetFaults(const std::string& body);
   connection::HttpResponse FaultsResponse() const;
 
--- a/Source/StandIns/database_core.cc
+++ b/Source/StandIns/database_core.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Keeps the answer to one pull well below the size of a large HTTP body.
-constexpr std::size_t kPullLimit = 256;
+/// Keeps the response to one pull well below the limit for an HTTP body.
+constexpr std::size_t kMaxEntriesPerPull = 256;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
 ExecuteResult DatabaseCore::Read(const ExecuteRequest& request,
                                  common::SteadyTime now) const {
   if (this->IsLagging(request, now)) {
-    return this->Refuse(request::NotRunReason::kLagging);
+    return this->Reject(request::NotRunReason::kLagging);
   }
   return ExecuteDone{.results = this->records.Read(request.operations),
                      .position = this->LastPosition(),
@@ -41,7 +41,7 @@
 
 bool DatabaseCore::IsLagging(const ExecuteRequest& request,
                              common::SteadyTime now) const {
-  if (this->unmatched) return true;
+  if (this->may_have_diverged) return true;
   if (this->LastPosition() < request.min_position) return true;
   if (!request.max_age) return false;
   const common::Duration age = this->Age(now);
@@ -50,16 +50,17 @@
 
 ExecuteResult DatabaseCore::Write(const ExecuteRequest& request) {
   if (this->role != DatabaseRole::kPrimary) {
-    return this->Refuse(request::NotRunReason::kNotPrimary);
+    return this->Reject(request::NotRunReason::kNotPrimary);
   }
-  if (request.term != this->term || this->FencedAboveTerm()) {
-    return this->Refuse(request::NotRunReason::kStaleTerm);
+  if (request.term != this->term || this->IsFencedAtHigherTerm()) {
+    return this->Reject(request::NotRunReason::kStaleTerm);
   }
-  // A repeated insert would otherwise conflict with its own first run.
-  if (auto replayed = this->Replay(request)) return *std::move(replayed);
+  // Checked before execution, since a repeated insert would conflict with the
+  // record of its first execution.
+  if (auto replayed = this->FindReplay(request)) return *std::move(replayed);
   std::optional<nlohmann::json> results =
       this->records.Apply(request.operations);
-  if (!results) return this->Refuse(request::NotRunReason::kConflict);
+  if (!results) return this->Reject(request::NotRunReason::kConflict);
   LogEntry entry{.position = this->NextPosition(),
                  .operations = request.operations,
                  .idempotency = request.idempotency,
@@ -75,17 +76,17 @@
                      .role = this->role};
 }
 
-std::optional<ExecuteResult> DatabaseCore::Replay(
+std::optional<ExecuteResult> DatabaseCore::FindReplay(
     const ExecuteRequest& request) const {
   if (!request.idempotency) return std::nullopt;
   const auto found = this->idempotency.find(*request.idempotency);
   if (found == this->idempotency.end()) return std::nullopt;
   const LogEntry& entry = this->log[found->second - 1];
   if (entry.digest != request.digest) {
-    return this->Refuse(request::NotRunReason::kIdempotencyMismatch);
+    return this->Reject(request::NotRunReason::kIdempotencyMismatch);
   }
-  // The last position confirms the old entry too, also if that one belongs to
-  // an earlier term.
+  // A confirmation of the last position also covers the original entry, even if
+  // that one belongs to an earlier term.
   return ExecuteDone{.results = entry.results,
                      .position = this->LastPosition(),
                      .term = this->term,
@@ -115,14 +116,14 @@
   }
   if (this->term == term) {
     // Either a repeated request, or the database already follows another
-    // primary of this term, which must stay the only one.
+    // primary of this term. A term has only one primary.
     return this->role == DatabaseRole::kPrimary;
   }
   this->term = term;
   this->role = DatabaseRole::kPrimary;
   this->primary_address.clear();
-  this->fresh_at.reset();
-  this->unmatched = false;
+  this->last_complete_pull.reset();
+  this->may_have_diverged = false;
   this->AppendTermStart();
   return true;
 }
@@ -138,7 +139,7 @@
   this->role = DatabaseRole::kReplica;
   this->primary_address = primary_address;
   this->pull_index = this->log.size();
-  if (was_primary) this->unmatched = true;
+  if (was_primary) this->may_have_diverged = true;
   return true;
 }
 
@@ -146,15 +147,15 @@
   common::LogPosition from;
   if (this->pull_index > 0) from = this->log[this->pull_index - 1].position;
   return ReplicateRequest{
-      .term = this->term, .from = from, .limit = kPullLimit};
+      .term = this->term, .from = from, .limit = kMaxEntriesPerPull};
 }
 
 ReplicateResult DatabaseCore::Replicate(const ReplicateRequest& request) const {
   ReplicateResult result;
   result.accepted = this->role == DatabaseRole::kPrimary &&
-                    request.term == this->term && !this->FencedAboveTerm();
+                    request.term == this->term && !this->IsFencedAtHigherTerm();
   if (!result.accepted) return result;
-  result.matched = this->Holds(request.from);
+  result.matched = this->HasEntry(request.from);
   if (!result.matched) return result;
   const std::size_t first = request.from.index;
   const std::size_t count = std::min(request.limit, this->log.size() - first);
@@ -169,26 +170,26 @@
                              const ReplicateResult& result,
                              common::SteadyTime pull_sent) {
   if (!result.accepted || this->role != DatabaseRole::kReplica) return;
-  if (request.term != this->term || this->FencedAboveTerm()) return;
-  // An answer to an older pull says nothing about the present log.
+  if (request.term != this->term || this->IsFencedAtHigherTerm()) return;
+  // A response to an older pull doesn't apply to the current log.
   if (request.from != this->NextPull().from) return;
   if (!result.matched) {
     if (this->pull_index > 0) --this->pull_index;
     return;
   }
-  if (!Continues(request.from, result.entries)) return;
+  if (!IsContiguous(request.from, result.entries)) return;
   if (this->pull_index < this->log.size()) this->Truncate(this->pull_index);
   for (const LogEntry& entry : result.entries) this->Append(entry);
   this->pull_index = this->log.size();
-  this->unmatched = false;
-  if (result.complete) this->fresh_at = pull_sent;
+  this->may_have_diverged = false;
+  if (result.complete) this->last_complete_pull = pull_sent;
 }
 
 ConfirmResult DatabaseCore::Confirm(common::LogPosition position) const {
-  // A primary cannot confirm its own entry: that would acknowledge a write
-  // that only one database has.
+  // A primary doesn't confirm its own entry, because a write that only one
+  // database has would then be acknowledged.
   const bool held = this->role == DatabaseRole::kReplica &&
-                    position.index > 0 && this->Holds(position);
+                    position.index > 0 && this->HasEntry(position);
   return ConfirmResult{
       .held = held, .fence = this->fence, .position = this->LastPosition()};
 }
@@ -201,17 +202,18 @@
                         .age = this->Age(now)};
 }
 
-ExecuteResult DatabaseCore::Refuse(request::NotRunReason reason) const {
+ExecuteResult DatabaseCore::Reject(request::NotRunReason reason) const {
   return ExecuteNotRun{.reason = reason, .term = this->term};
 }
 
 common::Duration DatabaseCore::Age(common::SteadyTime now) const {
   if (this->role == DatabaseRole::kPrimary) {
-    // A later primary may have written since the fence.
-    return this->FencedAboveTerm() ? kUnknownAge : common::Duration::zero();
+    // A primary of a later term may have written since the fence.
+    return this->IsFencedAtHigherTerm() ? kUnknownAge
+                                        : common::Duration::zero();
   }
-  if (!this->fresh_at) return kUnknownAge;
-  return now - *this->fresh_at;
+  if (!this->last_complete_pull) return kUnknownAge;
+  return now - *this->last_complete_pull;
 }
 
 common::LogPosition DatabaseCore::LastPosition() const {
@@ -222,7 +224,7 @@
   return {.term = this->term, .index = this->log.size() + 1};
 }
 
-bool DatabaseCore::Holds(common::LogPosition position) const {
+bool DatabaseCore::HasEntry(common::LogPosition position) const {
   if (position.index == 0) return position.term == 0;
   if (position.index > this->log.size()) return false;
   return this->log[position.index - 1].position == position;
@@ -251,8 +253,8 @@
   for (LogEntry& entry : kept) this->Append(std::move(entry));
 }
 
-bool DatabaseCore::Continues(common::LogPosition from,
-                             const std::vector<LogEntry>& entries) {
+bool DatabaseCore::IsContiguous(common::LogPosition from,
+                                const std::vector<LogEntry>& entries) {
   common::LogPosition previous = from;
   for (const LogEntry& entry : entries) {
     if (entry.position.index != previous.index + 1) return false;
--- a/Source/StandIns/database_messages.cc
+++ b/Source/StandIns/database_messages.cc
@@ -23,29 +23,30 @@
           {"results", entry.results}};
 }
 
-/// Reads the idempotency part that statements and log entries share.
+/// Parses the "idempotency" object, which statements and log entries share.
 void ReadIdempotency(MessageReader* message,
                      std::optional<IdempotencyRecordKey>* key,
                      std::string* digest) {
   if (!message->Has("idempotency")) return;
-  MessageReader part(message->Value("idempotency"));
-  *key = IdempotencyRecordKey{part.Text("workspace"), part.Text("key")};
-  *digest = part.Text("digest");
-  part.RejectUnknown();
+  MessageReader object_reader(message->Value("idempotency"));
+  *key = IdempotencyRecordKey{object_reader.Text("workspace"),
+                              object_reader.Text("key")};
+  *digest = object_reader.Text("digest");
+  object_reader.RejectUnknownFields();
 }
 
 LogEntry ParseEntry(const json& object) {
   MessageReader message(object);
   LogEntry entry;
   entry.position = message.Position("position");
-  // A term-start entry has no operations.
+  // The entry that marks the start of a term has no operations.
   const json& operations = message.Value("operations");
   if (!operations.empty()) {
     entry.operations = request::ParseOperations(operations);
   }
   ReadIdempotency(&message, &entry.idempotency, &entry.digest);
   if (message.Has("results")) entry.results = message.Value("results");
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   return entry;
 }
 
@@ -74,7 +75,7 @@
   parsed.wait =
       message.Milliseconds("wait_ms").value_or(common::Duration::zero());
   if (message.Has("request_id")) parsed.request_id = message.Text("request_id");
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   return parsed;
 }
 
@@ -84,7 +85,7 @@
   request.term = message.Unsigned("term");
   request.from = message.Position("from");
   request.limit = message.Unsigned("limit");
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   return request;
 }
 
@@ -97,7 +98,7 @@
   for (const json& entry : message.Value("entries")) {
     result.entries.push_back(ParseEntry(entry));
   }
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   return result;
 }
 
--- a/Source/StandIns/database_messages.h
+++ b/Source/StandIns/database_messages.h
@@ -10,24 +10,25 @@
 
 namespace camphorferry::standins {
 
-/// Body of POST /v1/execute.
+/// Request body of POST /v1/execute.
 struct ExecuteMessage {
   ExecuteRequest request;
-  /// How long a lagging read waits.
+  /// Maximum time that a read waits for a lagging replica.
   common::Duration wait = common::Duration::zero();
-  /// Returned with the answer; empty if the sender gave none.
+  /// Echoed in the response; empty if the request has none.
   std::string request_id;
 };
 
-/// Age in whole milliseconds, rounded up so that data is never reported as
-/// fresher than it is. An unknown age is the largest one that still fits
-/// common::Duration.
+/// Converts an age to whole milliseconds, rounding up so that data is never
+/// reported as more recent than it is. An unknown age becomes the largest value
+/// that common::Duration can represent.
 std::int64_t AgeToMilliseconds(common::Duration age);
 
-/// Name of a role in messages.
+/// Name of a role in JSON messages.
 std::string RoleName(DatabaseRole role);
 
-/// Parse functions throw BadMessageError or request::BadOperationError.
+/// Parse request and response bodies. They throw BadMessageError or
+/// request::BadOperationError.
 ExecuteMessage ParseExecute(const std::string& body);
 ReplicateRequest ParseReplicateRequest(const std::string& body);
 ReplicateResult ParseReplicateResult(const std::string& body);
@@ -36,7 +37,7 @@
 nlohmann::json ToJson(const ReplicateRequest& request);
 nlohmann::json ToJson(const ReplicateResult& result);
 
-/// HTTP status of the answer to POST /v1/execute.
+/// HTTP status of the response to POST /v1/execute.
 int HttpStatusOf(const ExecuteResult& result);
 
 }  // namespace camphorferry::standins
--- a/Source/StandIns/database_server.cc
+++ b/Source/StandIns/database_server.cc
@@ -14,12 +14,13 @@
 using connection::HttpResponse;
 using nlohmann::json;
 
-/// Statements that wait for a slot; more than a few connections can send.
-constexpr std::size_t kQueueLimit = 64;
+/// Maximum number of statements that wait for a slot; above the default
+/// connection limit, with one statement for each connection.
+constexpr std::size_t kMaxQueuedStatements = 64;
 
 connection::HttpServerLimits ServerLimits() {
   connection::HttpServerLimits limits;
-  // Silent connections must stay open for as long as a test may watch them.
+  // Silent connections must stay open for the duration of a test.
   limits.idle_timeout = std::chrono::hours(1);
   return limits;
 }
@@ -33,7 +34,7 @@
   return JsonResponse(HttpStatusOf(result), body);
 }
 
-HttpResponse TooManyConnections() {
+HttpResponse TooManyConnectionsResponse() {
   constexpr request::NotRunReason kReason =
       request::NotRunReason::kTooManyConnections;
   HttpResponse response = RefusalResponse(
@@ -50,13 +51,13 @@
       settings(settings),
       core(settings.id),
       waiters(loop),
-      slots(settings.slots, kQueueLimit),
-      puller(loop, &this->core, &this->gate,
+      slots(settings.slots, kMaxQueuedStatements),
+      puller(loop, &this->core, &this->network_faults,
              [this] { this->waiters.Notify(); }),
       server(loop, settings.listen, ServerLimits(),
              [this](HttpRequest request,
                     std::shared_ptr<HttpResponder> responder) {
-               this->Receive(std::move(request), std::move(responder));
+               this->OnRequest(std::move(request), std::move(responder));
              }) {
   if (settings.primary) this->core.InitializeAsPrimary();
   if (settings.follow) {
@@ -66,13 +67,13 @@
 }
 
 DatabaseFaults DatabaseServer::Faults() const {
-  return DatabaseFaults{.isolated = this->gate.Isolated(),
+  return DatabaseFaults{.isolated = this->network_faults.Isolated(),
                         .replication_delay = this->puller.Delay(),
                         .statement_delay = this->statement_delay};
 }
 
 void DatabaseServer::SetFaults(const DatabaseFaults& faults) {
-  this->gate.SetIsolated(faults.isolated);
+  this->network_faults.SetIsolated(faults.isolated);
   this->puller.SetDelay(faults.replication_delay);
   this->statement_delay = faults.statement_delay;
 }
@@ -85,117 +86,126 @@
   return dump;
 }
 
-void DatabaseServer::Receive(HttpRequest request,
-                             std::shared_ptr<HttpResponder> responder) {
+void DatabaseServer::OnRequest(HttpRequest request,
+                               std::shared_ptr<HttpResponder> responder) {
   const std::uint64_t id = request.connection_id;
-  const bool first = this->gate.NoteConnection(id);
-  if (this->gate.IsSilent(id)) {
-    this->gate.Hold(std::move(responder));
+  const bool first_request = this->network_faults.RegisterConnection(id);
+  if (this->network_faults.IsSilent(id)) {
+    this->network_faults.HoldUnanswered(std::move(responder));
     return;
   }
-  const Answer answer = [this, id, responder = std::move(responder)](
-                            const HttpResponse& response) {
-    this->gate.Send(id, responder, response);
+  const ResponseCallback respond = [this, id, responder = std::move(responder)](
+                                       const HttpResponse& response) {
+    this->network_faults.Send(id, responder, response);
   };
-  if (first && this->server.OpenConnections() > this->settings.connections) {
-    answer(TooManyConnections());
+  if (first_request &&
+      this->server.OpenConnections() > this->settings.connections) {
+    respond(TooManyConnectionsResponse());
     return;
   }
-  if (!first || this->settings.connect_delay == common::Duration::zero()) {
-    this->Route(request, answer);
+  if (!first_request ||
+      this->settings.connect_delay == common::Duration::zero()) {
+    this->Route(request, respond);
     return;
   }
   this->loop->RunLater(this->settings.connect_delay,
-                       [this, request = std::move(request), answer] {
-                         this->Route(request, answer);
+                       [this, request = std::move(request), respond] {
+                         this->Route(request, respond);
                        });
 }
 
-void DatabaseServer::Route(const HttpRequest& request, const Answer& answer) {
-  // All parsing comes before any effect, so a refusal here changed nothing.
+void DatabaseServer::Route(const HttpRequest& request,
+                           const ResponseCallback& respond) {
+  // Handlers parse the whole request before they change state, so a rejected
+  // request has had no effect.
   try {
-    this->Dispatch(request, answer);
+    this->Dispatch(request, respond);
   } catch (const BadMessageError& error) {
-    answer(RefusalResponse(kHttpBadRequest, "bad_request", error.what()));
+    respond(RefusalResponse(kHttpBadRequest, "bad_request", error.what()));
   } catch (const request::BadOperationError& error) {
-    answer(RefusalResponse(kHttpBadRequest, "bad_request", error.what()));
+    respond(RefusalResponse(kHttpBadRequest, "bad_request", error.what()));
   } catch (const connection::BadSocketAddressError& error) {
-    answer(RefusalResponse(kHttpBadRequest, "bad_request", error.what()));
+    respond(RefusalResponse(kHttpBadRequest, "bad_request", error.what()));
   }
 }
 
 void DatabaseServer::Dispatch(const HttpRequest& request,
-                              const Answer& answer) {
+                              const ResponseCallback& respond) {
   const std::string call = request.method + " " + request.path;
-  if (call == "GET /v1/status") return this->Status(answer);
-  if (call == "POST /v1/execute") return this->Execute(request.body, answer);
-  if (call == "POST /v1/confirm") return this->Confirm(request.body, answer);
-  if (call == "POST /v1/fence") return this->Fence(request.body, answer);
-  if (call == "POST /v1/promote") return this->Promote(request.body, answer);
-  if (call == "POST /v1/follow") return this->Follow(request.body, answer);
+  if (call == "GET /v1/status") return this->Status(respond);
+  if (call == "POST /v1/execute") return this->Execute(request.body, respond);
+  if (call == "POST /v1/confirm") return this->Confirm(request.body, respond);
+  if (call == "POST /v1/fence") return this->Fence(request.body, respond);
+  if (call == "POST /v1/promote") return this->Promote(request.body, respond);
+  if (call == "POST /v1/follow") return this->Follow(request.body, respond);
   if (call == "POST /v1/replicate") {
-    return this->Replicate(request.body, answer);
+    return this->Replicate(request.body, respond);
   }
-  answer(RefusalResponse(kHttpNotFound, "unknown_call", call));
+  respond(RefusalResponse(kHttpNotFound, "unknown_call", call));
 }
 
-void DatabaseServer::Execute(const std::string& body, const Answer& answer) {
+void DatabaseServer::Execute(const std::string& body,
+                             const ResponseCallback& respond) {
   const ExecuteMessage message = ParseExecute(body);
   if (request::IsReadOnly(message.request.operations)) {
-    this->WaitForPosition(message, answer);
+    this->WaitUntilCaughtUp(message, respond);
     return;
   }
-  this->TakeSlot(message, answer);
+  this->AcquireSlot(message, respond);
 }
 
-void DatabaseServer::WaitForPosition(const ExecuteMessage& message,
-                                     const Answer& answer) {
-  // A waiting read holds no slot, or a lagging replica would serve nobody.
-  this->waiters.Wait(message.wait, [this, message, answer](bool last) {
-    if (!last && this->core.IsLagging(message.request, Now())) return false;
-    this->TakeSlot(message, answer);
+void DatabaseServer::WaitUntilCaughtUp(const ExecuteMessage& message,
+                                       const ResponseCallback& respond) {
+  // A waiting read holds no slot, since reads that wait at a lagging replica
+  // would otherwise block all other statements.
+  this->waiters.Wait(message.wait, [this, message, respond](bool expired) {
+    if (!expired && this->core.IsLagging(message.request, Now())) return false;
+    this->AcquireSlot(message, respond);
     return true;
   });
 }
 
-void DatabaseServer::TakeSlot(const ExecuteMessage& message,
-                              const Answer& answer) {
+void DatabaseServer::AcquireSlot(const ExecuteMessage& message,
+                                 const ResponseCallback& respond) {
   const bool accepted = this->slots.Submit(
-      [this, message, answer] { this->Run(message, answer); });
+      [this, message, respond] { this->RunStatement(message, respond); });
   if (accepted) return;
-  answer(StatementResponse(
+  respond(StatementResponse(
       message, ExecuteNotRun{.reason = request::NotRunReason::kQueueFull,
                              .term = this->core.Status(Now()).term}));
 }
 
-void DatabaseServer::Run(const ExecuteMessage& message, const Answer& answer) {
+void DatabaseServer::RunStatement(const ExecuteMessage& message,
+                                  const ResponseCallback& respond) {
   const ExecuteResult result = this->core.Execute(message.request, Now());
   if (!request::IsReadOnly(message.request.operations)) this->waiters.Notify();
-  const auto finish = [this, answer,
+  const auto finish = [this, respond,
                        response = StatementResponse(message, result)] {
-    answer(response);
+    respond(response);
     this->slots.Release();
   };
   if (this->statement_delay == common::Duration::zero()) {
     finish();
     return;
   }
-  // The effect comes before the delay, so that a fault in between leaves the
+  // The delay follows the execution, so a fault during the delay leaves the
   // sender with an unknown outcome.
   this->loop->RunLater(this->statement_delay, finish);
 }
 
-void DatabaseServer::Confirm(const std::string& body, const Answer& answer) {
+void DatabaseServer::Confirm(const std::string& body,
+                             const ResponseCallback& respond) {
   MessageReader message(body);
   const common::LogPosition position = message.Position("position");
   const common::Duration wait =
       message.Milliseconds("wait_ms").value_or(common::Duration::zero());
-  message.RejectUnknown();
-  this->waiters.Wait(wait, [this, position, answer](bool last) {
+  message.RejectUnknownFields();
+  this->waiters.Wait(wait, [this, position, respond](bool expired) {
     const ConfirmResult result = this->core.Confirm(position);
-    const bool may_come = !result.held && result.fence <= position.term;
-    if (may_come && !last) return false;
-    answer(
+    const bool may_still_replicate =
+        !result.held && result.fence <= position.term;
+    if (may_still_replicate && !expired) return false;
+    respond(
         JsonResponse(kHttpOk, {{"held", result.held},
                                {"fence", result.fence},
                                {"term", this->core.Status(Now()).term},
@@ -204,55 +214,59 @@
   });
 }
 
-void DatabaseServer::Status(const Answer& answer) {
-  answer(JsonResponse(kHttpOk, this->StatusJson()));
+void DatabaseServer::Status(const ResponseCallback& respond) {
+  respond(JsonResponse(kHttpOk, this->StatusJson()));
 }
 
-void DatabaseServer::Fence(const std::string& body, const Answer& answer) {
+void DatabaseServer::Fence(const std::string& body,
+                           const ResponseCallback& respond) {
   MessageReader message(body);
   const common::Term term = message.Unsigned("term");
   const std::string proposer = message.Text("proposer");
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   const FenceResult result = this->core.Fence(term, proposer);
-  answer(JsonResponse(kHttpOk, {{"granted", result.granted},
-                                {"fence", result.fence},
-                                {"proposer", result.proposer},
-                                {"position", PositionToJson(result.position)},
-                                {"term", this->core.Status(Now()).term}}));
+  respond(JsonResponse(kHttpOk, {{"granted", result.granted},
+                                 {"fence", result.fence},
+                                 {"proposer", result.proposer},
+                                 {"position", PositionToJson(result.position)},
+                                 {"term", this->core.Status(Now()).term}}));
   this->waiters.Notify();
 }
 
-void DatabaseServer::Promote(const std::string& body, const Answer& answer) {
+void DatabaseServer::Promote(const std::string& body,
+                             const ResponseCallback& respond) {
   MessageReader message(body);
   const common::Term term = message.Unsigned("term");
   const std::string proposer = message.Text("proposer");
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   const bool accepted = this->core.Promote(term, proposer);
   json status = this->StatusJson();
   status["accepted"] = accepted;
-  answer(JsonResponse(kHttpOk, status));
+  respond(JsonResponse(kHttpOk, status));
   if (accepted) this->puller.Restart();
   this->waiters.Notify();
 }
 
-void DatabaseServer::Follow(const std::string& body, const Answer& answer) {
+void DatabaseServer::Follow(const std::string& body,
+                            const ResponseCallback& respond) {
   MessageReader message(body);
   const common::Term term = message.Unsigned("term");
   message.Text("proposer");
   const std::string primary = connection::ToString(
       connection::ParseSocketAddress(message.Text("primary")));
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   const bool accepted = this->core.Follow(term, primary);
   json status = this->StatusJson();
   status["accepted"] = accepted;
-  answer(JsonResponse(kHttpOk, status));
+  respond(JsonResponse(kHttpOk, status));
   if (accepted) this->puller.Restart();
   this->waiters.Notify();
 }
 
-void DatabaseServer::Replicate(const std::string& body, const Answer& answer) {
+void DatabaseServer::Replicate(const std::string& body,
+                               const ResponseCallback& respond) {
   const ReplicateRequest request = ParseReplicateRequest(body);
-  answer(JsonResponse(kHttpOk, ToJson(this->core.Replicate(request))));
+  respond(JsonResponse(kHttpOk, ToJson(this->core.Replicate(request))));
 }
 
 json DatabaseServer::StatusJson() const {
@@ -261,7 +275,7 @@
           {"fence", status.fence},
           {"role", RoleName(status.role)},
           {"position", PositionToJson(status.position)},
-          // Entries are applied in the same step that appends them.
+          // Entries are applied when they are appended.
           {"applied", PositionToJson(status.position)},
           {"age_ms", AgeToMilliseconds(status.age)},
           {"slots", this->slots.Slots()},
--- a/Source/StandIns/database_server.h
+++ b/Source/StandIns/database_server.h
@@ -23,7 +23,8 @@
   common::Duration statement_delay = common::Duration::zero();
 };
 
-/// A group member's listener for daemons and for the other databases.
+/// HTTP server of a database, which daemons and the other databases of the
+/// group connect to.
 class DatabaseServer {
  public:
   DatabaseServer(connection::EventLoop* loop, const DatabaseSettings& settings);
@@ -32,37 +33,44 @@
 
   DatabaseFaults Faults() const;
   void SetFaults(const DatabaseFaults& faults);
-  /// Connections that are open now get no answer again.
-  void SilenceOpen() { this->gate.SilenceOpen(); }
+  /// Stops all responses on the connections that are open now.
+  void SilenceOpenConnections() {
+    this->network_faults.SilenceOpenConnections();
+  }
 
-  /// Everything that tests compare between databases.
+  /// The complete state, which tests compare between databases.
   nlohmann::json Dump() const;
 
  private:
-  /// Sends a request's answer, at once or later.
-  using Answer = std::function<void(connection::HttpResponse)>;
+  /// Sends the response to a request, immediately or later.
+  using ResponseCallback = std::function<void(connection::HttpResponse)>;
 
-  void Receive(connection::HttpRequest request,
-               std::shared_ptr<connection::HttpResponder> responder);
-  void Route(const connection::HttpRequest& request, const Answer& answer);
-  void Dispatch(const connection::HttpRequest& request, const Answer& answer);
-  void Execute(const std::string& body, const Answer& answer);
-  void WaitForPosition(const ExecuteMessage& message, const Answer& answer);
-  void TakeSlot(const ExecuteMessage& message, const Answer& answer);
-  void Run(const ExecuteMessage& message, const Answer& answer);
-  void Confirm(const std::string& body, const Answer& answer);
-  void Status(const Answer& answer);
-  void Fence(const std::string& body, const Answer& answer);
-  void Promote(const std::string& body, const Answer& answer);
-  void Follow(const std::string& body, const Answer& answer);
-  void Replicate(const std::string& body, const Answer& answer);
+  void OnRequest(connection::HttpRequest request,
+                 std::shared_ptr<connection::HttpResponder> responder);
+  void Route(const connection::HttpRequest& request,
+             const ResponseCallback& respond);
+  void Dispatch(const connection::HttpRequest& request,
+                const ResponseCallback& respond);
+  void Execute(const std::string& body, const ResponseCallback& respond);
+  void WaitUntilCaughtUp(const ExecuteMessage& message,
+                         const ResponseCallback& respond);
+  void AcquireSlot(const ExecuteMessage& message,
+                   const ResponseCallback& respond);
+  void RunStatement(const ExecuteMessage& message,
+                    const ResponseCallback& respond);
+  void Confirm(const std::string& body, const ResponseCallback& respond);
+  void Status(const ResponseCallback& respond);
+  void Fence(const std::string& body, const ResponseCallback& respond);
+  void Promote(const std::string& body, const ResponseCallback& respond);
+  void Follow(const std::string& body, const ResponseCallback& respond);
+  void Replicate(const std::string& body, const ResponseCallback& respond);
   nlohmann::json StatusJson() const;
 
   connection::EventLoop* loop;
   DatabaseSettings settings;
   DatabaseCore core;
-  AnswerGate gate;
-  ChangeWaiters waiters;
+  NetworkFaultInjector network_faults;
+  LongPollWaiters waiters;
   StatementSlots slots;
   common::Duration statement_delay = common::Duration::zero();
   ReplicationPuller puller;
--- a/Source/StandIns/database_settings.h
+++ b/Source/StandIns/database_settings.h
@@ -10,7 +10,7 @@
 
 namespace camphorferry::standins {
 
-/// What the command line of a database sets.
+/// Settings of a database process, from its command line.
 struct DatabaseSettings {
   connection::SocketAddress listen;
   connection::SocketAddress control;
@@ -19,9 +19,9 @@
   std::uint32_t connections = 16;
   common::Duration connect_delay = common::Duration::zero();
   common::Duration replication_delay = common::Duration::zero();
-  /// Starts as the primary of term 1.
+  /// True to start as the primary of term 1.
   bool primary = false;
-  /// Primary of term 1 that this database follows from the start.
+  /// Address of the primary of term 1 that this database replicates at start.
   std::optional<connection::SocketAddress> follow;
 };
 
--- a/Source/StandIns/json_response.cc
+++ b/Source/StandIns/json_response.cc
@@ -8,7 +8,7 @@
   connection::HttpResponse response;
   response.status = status;
   response.headers["Content-Type"] = "application/json";
-  // Details of a refusal may quote bytes that are not UTF-8.
+  // The detail of a rejection may quote request bytes that are not valid UTF-8.
   response.body = body.dump(-1, ' ', /*ensure_ascii=*/false,
                             json::error_handler_t::replace);
   return response;
--- a/Source/StandIns/json_response.h
+++ b/Source/StandIns/json_response.h
@@ -15,10 +15,10 @@
 inline constexpr int kHttpConflict = 409;
 inline constexpr int kHttpUnavailable = 503;
 
-/// Answer with a JSON body.
+/// Creates a response with a JSON body.
 connection::HttpResponse JsonResponse(int status, const nlohmann::json& body);
 
-/// Answer to a request that was refused without any effect.
+/// Creates the response to a request that was rejected without any effect.
 connection::HttpResponse RefusalResponse(int status, const std::string& reason,
                                          const std::string& detail);
 
--- a/Source/StandIns/long_poll_waiters.cc
+++ b/Source/StandIns/long_poll_waiters.cc
@@ -5,36 +5,35 @@
 
 namespace camphorferry::standins {
 
-void ChangeWaiters::Wait(common::Duration limit, Attempt attempt) {
-  const bool last = limit <= common::Duration::zero();
-  if (attempt(last) || last) return;
-  const std::uint64_t number = this->next_number++;
+void LongPollWaiters::Wait(common::Duration timeout, RespondCallback respond) {
+  const bool expired = timeout <= common::Duration::zero();
+  if (respond(expired) || expired) return;
+  const std::uint64_t id = this->next_id++;
   auto waiter = std::make_shared<Waiter>();
-  waiter->attempt = std::move(attempt);
-  waiter->timer =
-      this->loop->After(limit, [this, number] { this->Expire(number); });
-  this->waiters.emplace(number, std::move(waiter));
+  waiter->respond = std::move(respond);
+  waiter->timer = this->loop->After(timeout, [this, id] { this->Expire(id); });
+  this->waiters.emplace(id, std::move(waiter));
 }
 
-void ChangeWaiters::Notify() {
-  // An attempt may change the state and so notify again or add waiters.
-  std::vector<std::uint64_t> numbers;
-  numbers.reserve(this->waiters.size());
-  for (const auto& [number, waiter] : this->waiters) numbers.push_back(number);
-  for (const std::uint64_t number : numbers) {
-    const auto found = this->waiters.find(number);
+void LongPollWaiters::Notify() {
+  // A callback may change the state, which calls Notify again or adds waiters.
+  std::vector<std::uint64_t> ids;
+  ids.reserve(this->waiters.size());
+  for (const auto& [id, waiter] : this->waiters) ids.push_back(id);
+  for (const std::uint64_t id : ids) {
+    const auto found = this->waiters.find(id);
     if (found == this->waiters.end()) continue;
     const std::shared_ptr<Waiter> waiter = found->second;
-    if (waiter->attempt(/*last=*/false)) this->waiters.erase(number);
+    if (waiter->respond(/*expired=*/false)) this->waiters.erase(id);
   }
 }
 
-void ChangeWaiters::Expire(std::uint64_t number) {
-  const auto found = this->waiters.find(number);
+void LongPollWaiters::Expire(std::uint64_t id) {
+  const auto found = this->waiters.find(id);
   if (found == this->waiters.end()) return;
   const std::shared_ptr<Waiter> waiter = std::move(found->second);
   this->waiters.erase(found);
-  waiter->attempt(/*last=*/true);
+  waiter->respond(/*expired=*/true);
 }
 
 }  // namespace camphorferry::standins
--- a/Source/StandIns/long_poll_waiters.h
+++ b/Source/StandIns/long_poll_waiters.h
@@ -11,31 +11,34 @@
 
 namespace camphorferry::standins {
 
-/// Requests that wait for a change of state for a bounded time.
-class ChangeWaiters {
+/// Long-polling requests: each waits for a change of state until its timeout.
+class LongPollWaiters {
  public:
-  /// Answers the request if it can be answered; the argument says that this is
-  /// the last call, so that it must be answered. Returns whether it was.
-  using Attempt = std::function<bool(bool last)>;
+  /// Responds to the request if the state allows it and returns whether it has
+  /// responded. If the argument is true, the timeout has passed: the callback
+  /// must respond and is not called again.
+  using RespondCallback = std::function<bool(bool expired)>;
 
-  explicit ChangeWaiters(connection::EventLoop* loop) : loop(loop) {}
+  explicit LongPollWaiters(connection::EventLoop* loop) : loop(loop) {}
 
-  /// Tries at once, after each change, and when the time is over.
-  void Wait(common::Duration limit, Attempt attempt);
+  /// Calls the callback immediately, after each change of state and at the
+  /// timeout, until it has responded.
+  void Wait(common::Duration timeout, RespondCallback respond);
 
-  /// Tries all that wait; called after each change of state.
+  /// Calls the callbacks of all waiting requests. To be called after each
+  /// change of state.
   void Notify();
 
  private:
   struct Waiter {
-    Attempt attempt;
+    RespondCallback respond;
     std::unique_ptr<connection::Timer> timer;
   };
 
-  void Expire(std::uint64_t number);
+  void Expire(std::uint64_t id);
 
   connection::EventLoop* loop;
-  std::uint64_t next_number = 1;
+  std::uint64_t next_id = 1;
   std::map<std::uint64_t, std::shared_ptr<Waiter>> waiters;
 };
 
--- a/Source/StandIns/message_reader.cc
+++ b/Source/StandIns/message_reader.cc
@@ -9,22 +9,22 @@
 
 using nlohmann::json;
 
-/// Larger times would overflow a timer and have no use.
-constexpr std::uint64_t kMaxMilliseconds = 3'600'000;
+/// One hour. Much larger values would overflow a timer.
+constexpr std::uint64_t kMaxDurationMs = 3'600'000;
 
-std::string FaultText(MessageFault fault) {
-  switch (fault) {
-    case MessageFault::kNotJson:
+std::string DescribeError(MessageError kind) {
+  switch (kind) {
+    case MessageError::kNotJson:
       return "the message is not JSON";
-    case MessageFault::kNotAnObject:
+    case MessageError::kNotAnObject:
       return "expected an object";
-    case MessageFault::kMissingField:
+    case MessageError::kMissingField:
       return "missing field";
-    case MessageFault::kWrongType:
+    case MessageError::kWrongType:
       return "wrong type";
-    case MessageFault::kOutOfRange:
+    case MessageError::kOutOfRange:
       return "value out of range";
-    case MessageFault::kUnknownField:
+    case MessageError::kUnknownField:
       return "unknown field";
   }
   return "invalid message";
@@ -32,15 +32,15 @@
 
 json ParseBody(const std::string& body) {
   json parsed = json::parse(body, nullptr, /*allow_exceptions=*/false);
-  if (parsed.is_discarded()) throw BadMessageError(MessageFault::kNotJson, "");
+  if (parsed.is_discarded()) throw BadMessageError(MessageError::kNotJson, "");
   return parsed;
 }
 
 }  // namespace
 
-BadMessageError::BadMessageError(MessageFault fault, const std::string& field)
-    : Error(FaultText(fault) + (field.empty() ? "" : ": " + field)),
-      fault(fault),
+BadMessageError::BadMessageError(MessageError kind, const std::string& field)
+    : Error(DescribeError(kind) + (field.empty() ? "" : ": " + field)),
+      kind(kind),
       field(field) {}
 
 MessageReader::MessageReader(const std::string& body)
@@ -48,33 +48,33 @@
 
 MessageReader::MessageReader(json object) : object(std::move(object)) {
   if (!this->object.is_object()) {
-    throw BadMessageError(MessageFault::kNotAnObject, "");
+    throw BadMessageError(MessageError::kNotAnObject, "");
   }
 }
 
 bool MessageReader::Has(const std::string& name) {
-  this->known.insert(name);
+  this->requested_fields.insert(name);
   const auto found = this->object.find(name);
   return found != this->object.end() && !found->is_null();
 }
 
 const json& MessageReader::Value(const std::string& name) {
   if (!this->Has(name)) {
-    throw BadMessageError(MessageFault::kMissingField, name);
+    throw BadMessageError(MessageError::kMissingField, name);
   }
   return this->object[name];
 }
 
 std::string MessageReader::Text(const std::string& name) {
   const json& value = this->Value(name);
-  if (!value.is_string()) throw BadMessageError(MessageFault::kWrongType, name);
+  if (!value.is_string()) throw BadMessageError(MessageError::kWrongType, name);
   return value.get<std::string>();
 }
 
 std::uint64_t MessageReader::Unsigned(const std::string& name) {
   const json& value = this->Value(name);
   if (!value.is_number_unsigned()) {
-    throw BadMessageError(MessageFault::kWrongType, name);
+    throw BadMessageError(MessageError::kWrongType, name);
   }
   return value.get<std::uint64_t>();
 }
@@ -82,7 +82,7 @@
 bool MessageReader::Boolean(const std::string& name) {
   const json& value = this->Value(name);
   if (!value.is_boolean()) {
-    throw BadMessageError(MessageFault::kWrongType, name);
+    throw BadMessageError(MessageError::kWrongType, name);
   }
   return value.get<bool>();
 }
@@ -92,7 +92,7 @@
   const bool valid = value.is_array() && value.size() == 2 &&
                      value[0].is_number_unsigned() &&
                      value[1].is_number_unsigned();
-  if (!valid) throw BadMessageError(MessageFault::kWrongType, name);
+  if (!valid) throw BadMessageError(MessageError::kWrongType, name);
   return {value[0].get<common::Term>(), value[1].get<common::LogIndex>()};
 }
 
@@ -100,16 +100,16 @@
     const std::string& name) {
   if (!this->Has(name)) return std::nullopt;
   const std::uint64_t count = this->Unsigned(name);
-  if (count > kMaxMilliseconds) {
-    throw BadMessageError(MessageFault::kOutOfRange, name);
+  if (count > kMaxDurationMs) {
+    throw BadMessageError(MessageError::kOutOfRange, name);
   }
   return std::chrono::milliseconds(count);
 }
 
-void MessageReader::RejectUnknown() const {
+void MessageReader::RejectUnknownFields() const {
   for (const auto& [name, value] : this->object.items()) {
-    if (!this->known.contains(name)) {
-      throw BadMessageError(MessageFault::kUnknownField, name);
+    if (!this->requested_fields.contains(name)) {
+      throw BadMessageError(MessageError::kUnknownField, name);
     }
   }
 }
--- a/Source/StandIns/message_reader.h
+++ b/Source/StandIns/message_reader.h
@@ -11,8 +11,8 @@
 
 namespace camphorferry::standins {
 
-/// What is wrong with a message.
-enum class MessageFault {
+/// Kinds of errors in a message.
+enum class MessageError {
   kNotJson,
   kNotAnObject,
   kMissingField,
@@ -21,50 +21,50 @@
   kUnknownField,
 };
 
-/// A message was not well-formed.
+/// Thrown for a malformed message.
 class BadMessageError : public common::Error {
  public:
-  BadMessageError(MessageFault fault, const std::string& field);
+  BadMessageError(MessageError kind, const std::string& field);
 
-  MessageFault Fault() const { return this->fault; }
+  MessageError Kind() const { return this->kind; }
   const std::string& Field() const { return this->field; }
 
  private:
-  MessageFault fault;
+  MessageError kind;
   std::string field;
 };
 
-/// Reads the fields of a JSON object; all functions throw BadMessageError. A
-/// field that is null counts as absent.
+/// Reads the fields of a JSON object with type checks. Functions throw
+/// BadMessageError on invalid input. A field that is null counts as absent.
 class MessageReader {
  public:
   /// Parses a message body.
   explicit MessageReader(const std::string& body);
-  /// Reads a part of a message.
+  /// Reads an object that is nested in a message.
   explicit MessageReader(nlohmann::json object);
 
   /// True if the field is present.
   bool Has(const std::string& name);
 
-  /// Value of a required field.
+  /// Returns the value of a required field.
   const nlohmann::json& Value(const std::string& name);
   std::string Text(const std::string& name);
   std::uint64_t Unsigned(const std::string& name);
   bool Boolean(const std::string& name);
   common::LogPosition Position(const std::string& name);
 
-  /// A time in milliseconds, at most an hour; nothing if absent.
+  /// Returns a duration in milliseconds of at most one hour; nullopt if absent.
   std::optional<common::Duration> Milliseconds(const std::string& name);
 
-  /// Throws if the object has a field that was not asked for.
-  void RejectUnknown() const;
+  /// Throws if the object has a field that has not been read or tested.
+  void RejectUnknownFields() const;
 
  private:
   nlohmann::json object;
-  std::set<std::string> known;
+  std::set<std::string> requested_fields;
 };
 
-/// A position as it is written in messages: [term, index].
+/// Converts a position to its JSON form: [term, index].
 nlohmann::json PositionToJson(common::LogPosition position);
 
 }  // namespace camphorferry::standins
--- a/Source/StandIns/network_fault_injector.cc
+++ b/Source/StandIns/network_fault_injector.cc
@@ -4,35 +4,37 @@
 
 namespace camphorferry::standins {
 
-bool AnswerGate::NoteConnection(std::uint64_t connection_id) {
-  // The server numbers connections in the order of their first requests.
+bool NetworkFaultInjector::RegisterConnection(std::uint64_t connection_id) {
+  // The server numbers connections in ascending order of their first requests.
   if (connection_id <= this->newest_connection) return false;
   this->newest_connection = connection_id;
   return true;
 }
 
-void AnswerGate::SetIsolated(bool isolated) {
-  const bool ends = this->isolated && !isolated;
+void NetworkFaultInjector::SetIsolated(bool isolated) {
+  const bool isolation_ended = this->isolated && !isolated;
   this->isolated = isolated;
-  if (!ends) return;
-  for (const auto& responder : std::exchange(this->held, {})) {
+  if (!isolation_ended) return;
+  for (const auto& responder : std::exchange(this->held_responders, {})) {
     responder->CloseUnanswered();
   }
 }
 
-bool AnswerGate::IsSilent(std::uint64_t connection_id) const {
-  return this->isolated || connection_id <= this->silent_up_to;
+bool NetworkFaultInjector::IsSilent(std::uint64_t connection_id) const {
+  return this->isolated || connection_id <= this->last_silenced_connection;
 }
 
-void AnswerGate::Hold(std::shared_ptr<connection::HttpResponder> responder) {
-  this->held.push_back(std::move(responder));
+void NetworkFaultInjector::HoldUnanswered(
+    std::shared_ptr<connection::HttpResponder> responder) {
+  this->held_responders.push_back(std::move(responder));
 }
 
-void AnswerGate::Send(std::uint64_t connection_id,
-                      std::shared_ptr<connection::HttpResponder> responder,
-                      const connection::HttpResponse& response) {
+void NetworkFaultInjector::Send(
+    std::uint64_t connection_id,
+    std::shared_ptr<connection::HttpResponder> responder,
+    const connection::HttpResponse& response) {
   if (this->IsSilent(connection_id)) {
-    this->Hold(std::move(responder));
+    this->HoldUnanswered(std::move(responder));
     return;
   }
   responder->Send(response);
--- a/Source/StandIns/network_fault_injector.h
+++ b/Source/StandIns/network_fault_injector.h
@@ -9,30 +9,34 @@
 
 namespace camphorferry::standins {
 
-/// Decides which connections of a database still get answers. Responders of
-/// silent connections are kept, because dropping one would send an answer.
-class AnswerGate {
+/// Simulates network faults of a database's connections: a partition, which
+/// affects all of them, and silent connections. Keeps the responders of silent
+/// connections, because the destruction of a responder sends a response.
+class NetworkFaultInjector {
  public:
-  /// Notes a request's connection; true if it is the connection's first one.
-  bool NoteConnection(std::uint64_t connection_id);
-
-  /// While isolated, no request on any connection is seen or answered.
-  /// The end of an isolation closes the connections whose requests were lost,
-  /// since their clients have given up on them; kept ones would use up the
-  /// connection limit.
+  /// Registers the connection of a request. Returns true if this is the first
+  /// request on the connection.
+  bool RegisterConnection(std::uint64_t connection_id);
+
+  /// While isolated, the database neither processes nor answers requests on any
+  /// connection. The end of an isolation closes the connections whose requests
+  /// were dropped: their clients have timed out, and connections left open
+  /// would count against the connection limit.
   void SetIsolated(bool isolated);
   bool Isolated() const { return this->isolated; }
 
-  /// Connections that have sent a request so far get no answer again.
-  void SilenceOpen() { this->silent_up_to = this->newest_connection; }
+  /// Stops all responses on the connections that have sent a request so far.
+  void SilenceOpenConnections() {
+    this->last_silenced_connection = this->newest_connection;
+  }
 
-  /// True if requests and answers on the connection are lost.
+  /// True if requests and responses on the connection are dropped.
   bool IsSilent(std::uint64_t connection_id) const;
 
-  /// Keeps a connection open without an answer.
-  void Hold(std::shared_ptr<connection::HttpResponder> responder);
+  /// Keeps a connection open without a response.
+  void HoldUnanswered(std::shared_ptr<connection::HttpResponder> responder);
 
-  /// Sends the answer, or loses it if the connection is silent by now.
+  /// Sends the response, or drops it if the connection has become silent.
   void Send(std::uint64_t connection_id,
             std::shared_ptr<connection::HttpResponder> responder,
             const connection::HttpResponse& response);
@@ -40,8 +44,8 @@
  private:
   bool isolated = false;
   std::uint64_t newest_connection = 0;
-  std::uint64_t silent_up_to = 0;
-  std::vector<std::shared_ptr<connection::HttpResponder>> held;
+  std::uint64_t last_silenced_connection = 0;
+  std::vector<std::shared_ptr<connection::HttpResponder>> held_responders;
 };
 
 }  // namespace camphorferry::standins
--- a/Source/StandIns/object_store_core.cc
+++ b/Source/StandIns/object_store_core.cc
@@ -6,10 +6,10 @@
 
 std::optional<StoredObject> ObjectStoreCore::Get(
     const std::string& path) const {
-  return this->GetNewer(path, 0);
+  return this->GetIfNewer(path, 0);
 }
 
-std::optional<StoredObject> ObjectStoreCore::GetNewer(
+std::optional<StoredObject> ObjectStoreCore::GetIfNewer(
     const std::string& path, ObjectVersion after) const {
   const auto found = this->objects.find(path);
   if (found == this->objects.end()) return std::nullopt;
--- a/Source/StandIns/object_store_core.h
+++ b/Source/StandIns/object_store_core.h
@@ -10,38 +10,40 @@
 
 namespace camphorferry::standins {
 
-/// Version of one object; the first is 1, and 0 means that there is no object.
+/// Version of an object. The first version is 1; 0 means that the object
+/// doesn't exist.
 using ObjectVersion = std::uint64_t;
 
-/// An object as it is stored.
+/// A stored object with its version.
 struct StoredObject {
   ObjectVersion version = 0;
   nlohmann::json value;
 };
 
-/// The update took effect.
+/// Result of an update that was stored.
 struct PutDone {
   ObjectVersion version = 0;
 };
 
-/// The update had no effect because the object has another version.
+/// Result of an update that was rejected because the object has another
+/// version.
 struct PutConflict {
   ObjectVersion current = 0;
 };
 
 using PutResult = std::variant<PutDone, PutConflict>;
 
-/// The platform's object API without sockets, clock or threads.
+/// Versioned object store of the platform, without sockets, clock or threads.
 class ObjectStoreCore {
  public:
   std::optional<StoredObject> Get(const std::string& path) const;
 
-  /// The object if its version is greater; a watch is this check, repeated
-  /// after each change until it yields an object.
-  std::optional<StoredObject> GetNewer(const std::string& path,
-                                       ObjectVersion after) const;
+  /// Returns the object if its version is greater than the given one. A watch
+  /// repeats this call after each change until it returns an object.
+  std::optional<StoredObject> GetIfNewer(const std::string& path,
+                                         ObjectVersion after) const;
 
-  /// Replaces the object if it has exactly this version.
+  /// Replaces the object if its current version equals if_version.
   PutResult Put(const std::string& path, nlohmann::json value,
                 ObjectVersion if_version);
 
--- a/Source/StandIns/platform_control.cc
+++ b/Source/StandIns/platform_control.cc
@@ -16,13 +16,13 @@
       server(loop, address, connection::HttpServerLimits(),
              [this](const HttpRequest& request,
                     const std::shared_ptr<HttpResponder>& responder) {
-               responder->Send(this->Answer(request));
+               responder->Send(this->HandleRequest(request));
              }) {}
 
-HttpResponse PlatformControl::Answer(const HttpRequest& request) {
+HttpResponse PlatformControl::HandleRequest(const HttpRequest& request) {
   if (request.method == "POST") {
     try {
-      return this->Change(request);
+      return this->HandlePost(request);
     } catch (const BadMessageError& error) {
       return RefusalResponse(kHttpBadRequest, "bad_request", error.what());
     }
@@ -32,7 +32,7 @@
   return RefusalResponse(kHttpNotFound, "unknown_call", request.path);
 }
 
-HttpResponse PlatformControl::Change(const HttpRequest& request) {
+HttpResponse PlatformControl::HandlePost(const HttpRequest& request) {
   if (request.path == "/control/faults") {
     this->SetFaults(request.body);
     return this->FaultsResponse();
@@ -56,7 +56,7 @@
   if (message.Has("lose_answers")) {
     faults.lose_answers = message.Unsigned("lose_answers");
   }
-  message.RejectUnknown();
+  message.RejectUnknownFields();
   this->platform->SetFaults(faults);
 }
 
--- a/Source/StandIns/platform_control.h
+++ b/Source/StandIns/platform_control.h
@@ -10,8 +10,8 @@
 
 namespace camphorferry::standins {
 
-/// Listener through which tests inject faults into the platform and set its
-/// lists. It answers while the platform is down.
+/// HTTP server through which tests inject faults into the platform and set its
+/// lists of hosts and databases. It responds even while the platform is down.
 class PlatformControl {
  public:
   PlatformControl(connection::EventLoop* loop,
@@ -21,8 +21,9 @@
   std::uint16_t Port() const { return this->server.Port(); }
 
  private:
-  connection::HttpResponse Answer(const connection::HttpRequest& request);
-  connection::HttpResponse Change(const connection::HttpRequest& request);
+  connection::HttpResponse HandleRequest(
+      const connection::HttpRequest& request);
+  connection::HttpResponse HandlePost(const connection::HttpRequest& request);
   void SetFaults(const std::string& body);
   connection::HttpResponse FaultsResponse() const;
   connection::HttpResponse CallsResponse() const;
--- a/Source/StandIns/platform_directory.cc
+++ b/Source/StandIns/platform_directory.cc
@@ -10,10 +10,10 @@
 
 using nlohmann::json;
 
-json ReadMembers(MessageReader* message, const std::string& name) {
+json ParseMembers(MessageReader* message, const std::string& name) {
   json members = message->Value(name);
   if (!members.is_array()) {
-    throw BadMessageError(MessageFault::kWrongType, name);
+    throw BadMessageError(MessageError::kWrongType, name);
   }
   for (const json& member : members) {
     MessageReader reader(member);
@@ -22,9 +22,9 @@
     reader.Text("domain");
     const std::string state = reader.Text("state");
     if (state != "live" && state != "leaving") {
-      throw BadMessageError(MessageFault::kOutOfRange, "state");
+      throw BadMessageError(MessageError::kOutOfRange, "state");
     }
-    reader.RejectUnknown();
+    reader.RejectUnknownFields();
   }
   return members;
 }
@@ -33,16 +33,16 @@
 
 void PlatformDirectory::SetHosts(const std::string& body) {
   MessageReader message(body);
-  json members = ReadMembers(&message, "hosts");
-  message.RejectUnknown();
+  json members = ParseMembers(&message, "hosts");
+  message.RejectUnknownFields();
   this->Publish(&this->hosts, std::move(members));
 }
 
 void PlatformDirectory::SetGroup(const std::string& body) {
   MessageReader message(body);
   const std::string service = message.Text("service");
-  json members = ReadMembers(&message, "databases");
-  message.RejectUnknown();
+  json members = ParseMembers(&message, "databases");
+  message.RejectUnknownFields();
   this->Publish(&this->groups[service], std::move(members));
 }
 
@@ -55,11 +55,11 @@
 }
 
 void PlatformDirectory::Publish(json* target, json value) {
-  if (this->lag == common::Duration::zero()) {
+  if (this->publish_delay == common::Duration::zero()) {
     *target = std::move(value);
     return;
   }
-  this->loop->RunLater(this->lag,
+  this->loop->RunLater(this->publish_delay,
                        [target, value = std::move(value)] { *target = value; });
 }
 
--- a/Source/StandIns/platform_directory.h
+++ b/Source/StandIns/platform_directory.h
@@ -12,33 +12,34 @@
 namespace camphorferry::standins {
 
 /// The platform's lists of hosts and of the databases of each service. Changes
-/// show only after a lag, as they do on the real platform.
+/// become visible after a delay, as on the real platform.
 class PlatformDirectory {
  public:
-  PlatformDirectory(connection::EventLoop* loop, common::Duration lag)
-      : loop(loop), lag(lag) {}
+  PlatformDirectory(connection::EventLoop* loop, common::Duration publish_delay)
+      : loop(loop), publish_delay(publish_delay) {}
 
-  /// Checks and takes a list {"hosts": [{id, address, domain, state}]}; throws
-  /// BadMessageError.
+  /// Validates and sets the list {"hosts": [{id, address, domain, state}]}.
+  /// Throws BadMessageError.
   void SetHosts(const std::string& body);
 
-  /// Checks and takes a service's databases in the same form, as
-  /// {"service": name, "databases": [...]}; throws BadMessageError.
+  /// Validates and sets the databases of a service, with entries of the same
+  /// form:
+  /// {"service": name, "databases": [...]}. Throws BadMessageError.
   void SetGroup(const std::string& body);
 
-  /// List of hosts as it shows now.
+  /// Currently visible list of hosts.
   const nlohmann::json& Hosts() const { return this->hosts; }
 
-  /// A service's databases as they show now; nothing for an unknown service.
+  /// Currently visible databases of a service; nullopt for an unknown service.
   std::optional<nlohmann::json> Group(const std::string& service) const;
 
  private:
   void Publish(nlohmann::json* target, nlohmann::json value);
 
   connection::EventLoop* loop;
-  common::Duration lag;
+  common::Duration publish_delay;
   nlohmann::json hosts = nlohmann::json::array();
-  /// A null value is a service whose first list does not show yet.
+  /// By service. A null value is a service whose first list is not visible yet.
   std::map<std::string, nlohmann::json> groups;
 };
 
--- a/Source/StandIns/platform_server.h
+++ b/Source/StandIns/platform_server.h
@@ -16,14 +16,15 @@
 
 /// Faults that tests inject into the platform.
 struct PlatformFaults {
-  /// Connections are closed without an answer.
+  /// Connections are closed without a response.
   bool down = false;
   common::Duration delay = common::Duration::zero();
-  /// Number of following changes that take effect but get no answer.
+  /// Number of upcoming changes that are stored but get no response.
   std::uint64_t lose_answers = 0;
 };
 
-/// Calls that the platform has received; a pending watch is one call.
+/// Number of API calls that the platform has received. A long-polling watch
+/// counts as one call.
 struct PlatformCalls {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
@@ -31,17 +32,18 @@
   std::uint64_t lists = 0;
 };
 
-/// The platform's listener for daemons.
+/// HTTP server of the platform API, which daemons connect to.
 class PlatformServer {
  public:
   PlatformServer(connection::EventLoop* loop,
                  const connection::SocketAddress& address,
-                 common::Duration list_lag);
+                 common::Duration list_delay);
 
   std::uint16_t Port() const { return this->server.Port(); }
 
   const PlatformFaults& Faults() const { return this->faults; }
-  /// Also closes all connections with unanswered requests if it sets down.
+  /// Sets the faults. If the platform goes down, also closes all connections
+  /// with pending requests.
   void SetFaults(const PlatformFaults& faults);
 
   const PlatformCalls& Calls() const { return this->calls; }
@@ -50,8 +52,8 @@
  private:
   using Responder = std::shared_ptr<connection::HttpResponder>;
 
-  void Receive(const connection::HttpRequest& request,
-               const Responder& responder);
+  void OnRequest(const connection::HttpRequest& request,
+                 const Responder& responder);
   void Route(const connection::HttpRequest& request,
              const Responder& responder);
   void GetObject(const std::string& path, const Responder& responder);
@@ -60,19 +62,19 @@
   void Put(const std::string& path, const connection::HttpRequest& request,
            const Responder& responder);
   void List(const std::string& path, const Responder& responder);
-  void Answer(const Responder& responder,
-              const connection::HttpResponse& response);
-  void Finish(const Responder& responder,
-              const connection::HttpResponse& response);
+  void Respond(const Responder& responder,
+               const connection::HttpResponse& response);
+  void SendIfPending(const Responder& responder,
+                     const connection::HttpResponse& response);
 
   connection::EventLoop* loop;
   ObjectStoreCore store;
   PlatformDirectory directory;
   PlatformFaults faults;
   PlatformCalls calls;
-  ChangeWaiters waiters;
-  /// Requests without an answer, which an outage cuts off.
-  std::set<Responder> unanswered;
+  LongPollWaiters waiters;
+  /// Responders of pending requests, which an outage closes.
+  std::set<Responder> pending_responders;
   connection::HttpServer server;
 };
 
--- a/Source/StandIns/record_store.cc
+++ b/Source/StandIns/record_store.cc
@@ -32,23 +32,24 @@
   return list;
 }
 
-/// The record as a 64-bit integer, if it is one.
-std::optional<std::int64_t> IntegerOf(const json& value) {
+/// Converts a record to a 64-bit integer; nullopt if it is not one.
+std::optional<std::int64_t> ToInteger(const json& value) {
   if (!value.is_number_integer()) return std::nullopt;
-  constexpr std::uint64_t kLargest = std::numeric_limits<std::int64_t>::max();
-  if (value.is_number_unsigned() && value.get<std::uint64_t>() > kLargest) {
+  constexpr std::uint64_t kMaxInteger =
+      std::numeric_limits<std::int64_t>::max();
+  if (value.is_number_unsigned() && value.get<std::uint64_t>() > kMaxInteger) {
     return std::nullopt;
   }
   return value.get<std::int64_t>();
 }
 
-/// Changes records in place and remembers what they replaced, so that a
-/// conflict can be undone.
+/// A transaction that changes records in place and keeps an undo log of the
+/// replaced values for a rollback.
 class RecordTransaction {
  public:
   explicit RecordTransaction(Records* records) : records(records) {}
 
-  /// Result of one operation; nothing if it conflicts.
+  /// Executes one operation and returns its result; nullopt on a conflict.
   std::optional<json> Run(const request::Operation& operation) {
     return std::visit(
         common::Overloaded{
@@ -74,23 +75,23 @@
         operation);
   }
 
-  /// Restores the records as they were before the first operation.
+  /// Restores the records to their state before the transaction.
   void RollBack() {
-    for (auto change = this->replaced.rbegin(); change != this->replaced.rend();
+    for (auto change = this->undo_log.rbegin(); change != this->undo_log.rend();
          ++change) {
       this->Assign(change->first, std::move(change->second));
     }
-    this->replaced.clear();
+    this->undo_log.clear();
   }
 
  private:
   std::optional<json> Add(const request::AddOperation& add) {
     const auto found = this->records->find({add.table, add.key});
-    std::optional<std::int64_t> before = 0;
-    if (found != this->records->end()) before = IntegerOf(found->second);
-    if (!before) return std::nullopt;
+    std::optional<std::int64_t> prior = 0;
+    if (found != this->records->end()) prior = ToInteger(found->second);
+    if (!prior) return std::nullopt;
     std::int64_t sum = 0;
-    if (__builtin_add_overflow(*before, add.amount, &sum)) return std::nullopt;
+    if (__builtin_add_overflow(*prior, add.amount, &sum)) return std::nullopt;
     this->Set({add.table, add.key}, json(sum));
     return json(sum);
   }
@@ -105,9 +106,9 @@
 
   void Set(const RecordKey& key, std::optional<json> value) {
     const auto found = this->records->find(key);
-    std::optional<json> before;
-    if (found != this->records->end()) before = found->second;
-    this->replaced.emplace_back(key, std::move(before));
+    std::optional<json> prior;
+    if (found != this->records->end()) prior = found->second;
+    this->undo_log.emplace_back(key, std::move(prior));
     this->Assign(key, std::move(value));
   }
 
@@ -120,7 +121,7 @@
   }
 
   Records* records;
-  std::vector<std::pair<RecordKey, std::optional<json>>> replaced;
+  std::vector<std::pair<RecordKey, std::optional<json>>> undo_log;
 };
 
 }  // namespace
--- a/Source/StandIns/record_store.h
+++ b/Source/StandIns/record_store.h
@@ -11,24 +11,23 @@
 
 namespace camphorferry::standins {
 
-/// The records of a database, by table and key.
+/// In-memory key-value store with the records of a database, by table and key.
 class RecordStore {
  public:
-  /// Runs the operations in order, each seeing the effects of those before it.
-  /// Returns one result for each: the value or null for get, the new value for
-  /// add, a list of {"key", "value"} for scan, and null for put, insert and
-  /// delete. Returns nothing and changes nothing if the transaction conflicts:
-  /// an insert of an existing key, an add to a record that is not an integer,
-  /// or an add that leaves the range of 64-bit integers.
+  /// Executes the operations as one transaction, in order; each sees the
+  /// effects of the previous ones. Returns one result for each operation: the
+  /// value or null for get, the new value for add, a list of {"key", "value"}
+  /// for scan, and null for put, insert and delete. Returns nullopt and changes
+  /// nothing on a conflict: an insert of an existing key, an add to a record
+  /// that is not an integer, or an add that overflows a 64-bit integer.
   std::optional<nlohmann::json> Apply(const request::Operations& operations);
 
-  /// Runs operations that only read.
+  /// Executes read-only operations.
   nlohmann::json Read(const request::Operations& operations) const;
 
-  /// All tables as an object of objects.
+  /// All tables as a JSON object, with an object of records for each table.
   nlohmann::json Dump() const;
 
-  /// Removes all records.
   void Clear();
 
  private:
--- a/Source/StandIns/replication_puller.cc
+++ b/Source/StandIns/replication_puller.cc
@@ -11,14 +11,16 @@
 
 namespace {
 
-/// Pause between pulls of a replica that has everything.
-constexpr common::Duration kIdlePause = std::chrono::milliseconds(5);
-/// After this time the connection is given up. Pulls are answered at once, so
-/// it only bounds how long a silent connection stops replication.
+/// Interval between the pulls of a replica that has caught up.
+constexpr common::Duration kPullInterval = std::chrono::milliseconds(5);
+/// A pull without a response within this time closes the connection. Primaries
+/// respond to pulls immediately, so this only bounds how long a silent
+/// connection interrupts replication.
 constexpr common::Duration kPullTimeout = std::chrono::milliseconds(500);
 
-/// The primary's answer; a refusal if there is none or it is malformed.
-ReplicateResult ReadAnswer(const connection::HttpResult& result) {
+/// Parses the primary's response. A missing or malformed response is returned
+/// as not accepted.
+ReplicateResult ParseResponse(const connection::HttpResult& result) {
   const auto* response = std::get_if<connection::HttpResponse>(&result);
   if (response == nullptr || response->status != kHttpOk) return {};
   try {
@@ -33,10 +35,14 @@
 }  // namespace
 
 ReplicationPuller::ReplicationPuller(connection::EventLoop* loop,
-                                     DatabaseCore* core, const AnswerGate* gate,
-                                     std::function<void()> applied)
-    : loop(loop), core(core), gate(gate), applied(std::move(applied)) {
-  this->Schedule(kIdlePause);
+                                     DatabaseCore* core,
+                                     const NetworkFaultInjector* network_faults,
+                                     std::function<void()> on_applied)
+    : loop(loop),
+      core(core),
+      network_faults(network_faults),
+      on_applied(std::move(on_applied)) {
+  this->Schedule(kPullInterval);
 }
 
 void ReplicationPuller::Restart() {
@@ -50,14 +56,14 @@
   this->Restart();
 }
 
-void ReplicationPuller::Schedule(common::Duration pause) {
-  this->timer = this->loop->After(pause, [this] { this->Pull(); });
+void ReplicationPuller::Schedule(common::Duration interval) {
+  this->timer = this->loop->After(interval, [this] { this->Pull(); });
 }
 
 void ReplicationPuller::Pull() {
   const std::string& primary = this->core->PrimaryAddress();
-  if (primary.empty() || this->gate->Isolated()) {
-    this->Schedule(kIdlePause);
+  if (primary.empty() || this->network_faults->Isolated()) {
+    this->Schedule(kPullInterval);
     return;
   }
   const ReplicateRequest pull = this->core->NextPull();
@@ -66,28 +72,28 @@
   request.path = "/v1/replicate";
   request.body = ToJson(pull).dump();
   const common::SteadyTime sent = common::SteadyNow();
-  this->ConnectionTo(primary)->Send(
+  this->ConnectionForAddress(primary)->Send(
       request, kPullTimeout,
       [this, pull, sent](const connection::HttpResult& result) {
-        this->Receive(pull, sent, result);
+        this->OnResponse(pull, sent, result);
       });
 }
 
-void ReplicationPuller::Receive(const ReplicateRequest& pull,
-                                common::SteadyTime sent,
-                                const connection::HttpResult& result) {
-  ReplicateResult answer = ReadAnswer(result);
-  if (!answer.accepted) {
-    this->Schedule(kIdlePause);
+void ReplicationPuller::OnResponse(const ReplicateRequest& pull,
+                                   common::SteadyTime sent,
+                                   const connection::HttpResult& result) {
+  ReplicateResult parsed = ParseResponse(result);
+  if (!parsed.accepted) {
+    this->Schedule(kPullInterval);
     return;
   }
   if (this->delay == common::Duration::zero()) {
-    this->Apply(pull, sent, answer);
+    this->Apply(pull, sent, parsed);
     return;
   }
   this->timer = this->loop->After(
-      this->delay, [this, pull, sent, answer = std::move(answer)] {
-        this->Apply(pull, sent, answer);
+      this->delay, [this, pull, sent, parsed = std::move(parsed)] {
+        this->Apply(pull, sent, parsed);
       });
 }
 
@@ -95,20 +101,20 @@
                               common::SteadyTime sent,
                               const ReplicateResult& result) {
   const bool caught_up = result.matched && result.complete;
-  this->Schedule(caught_up ? kIdlePause : common::Duration::zero());
-  // The answer would not have arrived.
-  if (this->gate->Isolated()) return;
+  this->Schedule(caught_up ? kPullInterval : common::Duration::zero());
+  // While isolated, the response would not have arrived.
+  if (this->network_faults->Isolated()) return;
   this->core->ApplyPull(pull, result, sent);
-  this->applied();
+  this->on_applied();
 }
 
-connection::HttpClientConnection* ReplicationPuller::ConnectionTo(
+connection::HttpClientConnection* ReplicationPuller::ConnectionForAddress(
     const std::string& address) {
   const bool reusable = this->connection != nullptr &&
-                        this->connected_to == address &&
+                        this->connected_address == address &&
                         this->connection->Usable();
   if (!reusable) {
-    this->connected_to = address;
+    this->connected_address = address;
     this->connection = std::make_unique<connection::HttpClientConnection>(
         this->loop, connection::ParseSocketAddress(address));
   }
--- a/Source/StandIns/replication_puller.h
+++ b/Source/StandIns/replication_puller.h
@@ -12,38 +12,40 @@
 
 namespace camphorferry::standins {
 
-/// Pulls the primary's log into a replica, one request at a time.
+/// Pulls log entries from the primary into a replica, one request at a time.
 class ReplicationPuller {
  public:
-  /// Calls the action after each applied answer.
+  /// Calls the callback after each applied response.
   ReplicationPuller(connection::EventLoop* loop, DatabaseCore* core,
-                    const AnswerGate* gate, std::function<void()> applied);
+                    const NetworkFaultInjector* network_faults,
+                    std::function<void()> on_applied);
 
-  /// Gives up the present pull and asks the present primary at once. Without
-  /// this a replica of an isolated primary would wait for the time-out of its
-  /// pull before it turns to the new primary.
+  /// Cancels the pending pull and immediately pulls from the current primary.
+  /// Without this, a replica of an isolated primary would wait for the timeout
+  /// of its pull before it connects to the new primary.
   void Restart();
 
-  /// Delay between the receipt of entries and their effect. A change also ends
-  /// a wait that began under the earlier delay.
+  /// Sets the simulated replication lag: the delay between the receipt of
+  /// entries and their application. A change also cancels a pending delay.
   void SetDelay(common::Duration delay);
   common::Duration Delay() const { return this->delay; }
 
  private:
   void Schedule(common::Duration pause);
   void Pull();
-  void Receive(const ReplicateRequest& pull, common::SteadyTime sent,
-               const connection::HttpResult& result);
+  void OnResponse(const ReplicateRequest& pull, common::SteadyTime sent,
+                  const connection::HttpResult& result);
   void Apply(const ReplicateRequest& pull, common::SteadyTime sent,
              const ReplicateResult& result);
-  connection::HttpClientConnection* ConnectionTo(const std::string& address);
+  connection::HttpClientConnection* ConnectionForAddress(
+      const std::string& address);
 
   connection::EventLoop* loop;
   DatabaseCore* core;
-  const AnswerGate* gate;
-  std::function<void()> applied;
+  const NetworkFaultInjector* network_faults;
+  std::function<void()> on_applied;
   common::Duration delay = common::Duration::zero();
-  std::string connected_to;
+  std::string connected_address;
   std::unique_ptr<connection::HttpClientConnection> connection;
   std::unique_ptr<connection::Timer> timer;
 };
--- a/Source/StandIns/standin_database_main.cc
+++ b/Source/StandIns/standin_database_main.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Option values before they are checked.
+/// Option values before validation.
 struct DatabaseArguments {
   std::string listen;
   std::string control;
@@ -24,12 +24,12 @@
   bool primary = false;
 };
 
-void Declare(CommandLine* line, DatabaseArguments* arguments) {
-  line->AddText("listen", "IP:PORT", "Address for daemons and databases",
-                &arguments->listen);
-  line->AddText("control", "IP:PORT", "Address for fault injection",
-                &arguments->control);
-  line->AddText("id", "ID", "Name of this database", &arguments->id);
+void AddOptions(CommandLine* line, DatabaseArguments* arguments) {
+  line->AddString("listen", "IP:PORT", "Address for daemons and databases",
+                  &arguments->listen);
+  line->AddString("control", "IP:PORT", "Address for fault injection",
+                  &arguments->control);
+  line->AddString("id", "ID", "Name of this database", &arguments->id);
   line->AddNumber("slots", "N", "Statements that run at once",
                   &arguments->slots);
   line->AddNumber("connections", "N", "Connections that are accepted",
@@ -42,12 +42,12 @@
                   &arguments->replication_delay_ms);
   line->AddFlag("primary", "Start as the primary of term 1",
                 &arguments->primary);
-  line->AddText("follow", "IP:PORT", "Start as a replica of this primary",
-                &arguments->follow);
+  line->AddString("follow", "IP:PORT", "Start as a replica of this primary",
+                  &arguments->follow);
 }
 
-/// Names what is missing or contradictory; empty if nothing is.
-std::string Check(const DatabaseArguments& arguments) {
+/// Returns an error message for missing or conflicting options; empty if valid.
+std::string Validate(const DatabaseArguments& arguments) {
   if (arguments.listen.empty()) return "--listen is missing";
   if (arguments.control.empty()) return "--control is missing";
   if (arguments.id.empty()) return "--id is missing";
@@ -80,10 +80,10 @@
 int Main(int argc, const char** argv) {
   CommandLine line("standin-database");
   DatabaseArguments arguments;
-  Declare(&line, &arguments);
+  AddOptions(&line, &arguments);
   if (const auto code = line.Parse(argc, argv)) return *code;
-  const std::string fault = Check(arguments);
-  if (!fault.empty()) return line.UsageError(fault);
+  const std::string validation_error = Validate(arguments);
+  if (!validation_error.empty()) return line.UsageError(validation_error);
   try {
     const DatabaseSettings settings = ToSettings(arguments);
     StandInProcess process;
--- a/Source/StandIns/standin_platform_main.cc
+++ b/Source/StandIns/standin_platform_main.cc
@@ -16,9 +16,9 @@
   std::string listen;
   std::string control_listen;
   std::uint32_t host_lag_ms = 0;
-  line.AddText("listen", "IP:PORT", "Address for daemons", &listen);
-  line.AddText("control", "IP:PORT", "Address for fault injection",
-               &control_listen);
+  line.AddString("listen", "IP:PORT", "Address for daemons", &listen);
+  line.AddString("control", "IP:PORT", "Address for fault injection",
+                 &control_listen);
   line.AddNumber("host-lag-ms", "N", "Delay before a changed list shows",
                  &host_lag_ms);
   if (const auto code = line.Parse(argc, argv)) return *code;
--- a/Source/StandIns/standin_process.cc
+++ b/Source/StandIns/standin_process.cc
@@ -7,7 +7,7 @@
 
 StandInProcess::StandInProcess() {
   common::InitializeLogging(common::LogLevel::kInfo);
-  // An answer to a peer that is gone must not end the process.
+  // A write to a connection that the peer has closed must not end the process.
   std::signal(SIGPIPE, SIG_IGN);
   for (const int signal_number : {SIGTERM, SIGINT}) {
     this->loop.OnSignal(signal_number, [this] { this->loop.Stop(); });
--- a/Source/StandIns/standin_process.h
+++ b/Source/StandIns/standin_process.h
@@ -7,14 +7,15 @@
 
 namespace camphorferry::standins {
 
-/// What both stand-in processes do around their listeners.
+/// Setup shared by the stand-in processes: logging, signals and the event loop.
 class StandInProcess {
  public:
   StandInProcess();
 
   connection::EventLoop* Loop() { return &this->loop; }
 
-  /// Prints the ready line and runs until SIGTERM or SIGINT.
+  /// Prints the line that reports readiness with the ports, then runs the event
+  /// loop until SIGTERM or SIGINT.
   void Run(std::uint16_t port, std::uint16_t control_port);
 
  private:
--- a/Source/StandIns/statement_slots.h
+++ b/Source/StandIns/statement_slots.h
@@ -7,17 +7,18 @@
 
 namespace camphorferry::standins {
 
-/// Bounds the statements that a database runs at once; others wait in order.
+/// Concurrency limiter: bounds the number of statements that a database
+/// executes concurrently. Further statements wait in a bounded FIFO queue.
 class StatementSlots {
  public:
   StatementSlots(std::size_t slots, std::size_t queue_limit)
       : slots(slots), queue_limit(queue_limit) {}
 
-  /// Starts the statement now or later; false if the queue is full. A started
-  /// statement keeps its slot until Release.
+  /// Starts the statement now or queues it; returns false if the queue is full.
+  /// A started statement holds its slot until Release.
   bool Submit(std::function<void()> start);
 
-  /// Ends a statement and starts the next one.
+  /// Releases the slot of a finished statement and starts the next queued one.
   void Release();
 
   std::size_t Slots() const { return this->slots; }
--- a/Source/UnitTests/StandIns/database_core_test.cc
+++ b/Source/UnitTests/StandIns/database_core_test.cc
@@ -47,25 +47,26 @@
   return request;
 }
 
-/// Reason of a statement that did not run; nothing if it was done.
-std::optional<NotRunReason> ReasonOf(const ExecuteResult& result) {
+/// Reason why a statement was rejected; nullopt if it succeeded.
+std::optional<NotRunReason> NotRunReasonOf(const ExecuteResult& result) {
   const auto* not_run = std::get_if<ExecuteNotRun>(&result);
   if (not_run == nullptr) return std::nullopt;
   return not_run->reason;
 }
 
-/// One pull of the replica.
+/// Performs one pull of the replica.
 void PullOnce(DatabaseCore* replica, const DatabaseCore& primary,
               SteadyTime now) {
   const ReplicateRequest pull = replica->NextPull();
   replica->ApplyPull(pull, primary.Replicate(pull), now);
 }
 
-/// Pulls until the replica has the primary's whole log; false if it refuses.
+/// Pulls until the replica has the primary's whole log. Returns false if the
+/// primary rejects a pull.
 bool PullAll(DatabaseCore* replica, const DatabaseCore& primary,
              SteadyTime now) {
-  const std::size_t enough = replica->LogLength() + primary.LogLength() + 2;
-  for (std::size_t round = 0; round < enough; ++round) {
+  const std::size_t max_pulls = replica->LogLength() + primary.LogLength() + 2;
+  for (std::size_t pull_count = 0; pull_count < max_pulls; ++pull_count) {
     const ReplicateRequest pull = replica->NextPull();
     const ReplicateResult result = primary.Replicate(pull);
     replica->ApplyPull(pull, result, now);
@@ -83,16 +84,17 @@
     this->other.Follow(1, "primary");
   }
 
-  ExecuteDone Done(DatabaseCore* database, const ExecuteRequest& request) {
+  ExecuteDone ExecuteExpectingDone(DatabaseCore* database,
+                                   const ExecuteRequest& request) {
     const ExecuteResult result = database->Execute(request, kStart);
     const auto* done = std::get_if<ExecuteDone>(&result);
     EXPECT_NE(done, nullptr);
     return done == nullptr ? ExecuteDone() : *done;
   }
 
-  std::optional<NotRunReason> Refusal(DatabaseCore* database,
-                                      const ExecuteRequest& request) {
-    return ReasonOf(database->Execute(request, kStart));
+  std::optional<NotRunReason> ExecuteAndGetReason(
+      DatabaseCore* database, const ExecuteRequest& request) {
+    return NotRunReasonOf(database->Execute(request, kStart));
   }
 
   DatabaseCore primary{"a"};
@@ -100,33 +102,35 @@
   DatabaseCore other{"c"};
 };
 
-// Guards against writes that are accepted without the sender's term.
-TEST_F(DatabaseCoreTest, WrongTermOrRole_Write_IsNotRun) {
-  EXPECT_EQ(this->Refusal(&this->primary, Put(2, "k", 1)),
+// Guards against writes that are accepted in a term other than the sender's, or
+// by a replica.
+TEST_F(DatabaseCoreTest, Write_WrongTermOrRole_IsNotRun) {
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, Put(2, "k", 1)),
             NotRunReason::kStaleTerm);
-  EXPECT_EQ(this->Refusal(&this->primary, Put(0, "k", 1)),
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, Put(0, "k", 1)),
             NotRunReason::kStaleTerm);
-  EXPECT_EQ(this->Refusal(&this->replica, Put(1, "k", 1)),
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->replica, Put(1, "k", 1)),
             NotRunReason::kNotPrimary);
   EXPECT_EQ(this->primary.LogLength(), 1U);
-  EXPECT_EQ(this->Done(&this->primary, Put(1, "k", 1)).position,
+  EXPECT_EQ(this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1)).position,
             (LogPosition{1, 2}));
 }
 
-// Guards against a superseded primary that goes on writing or replicating.
-TEST_F(DatabaseCoreTest, FencedPrimary_WriteAndReplicate_AreRefused) {
+// Guards against a superseded primary that still accepts writes or replicates.
+TEST_F(DatabaseCoreTest, WriteAndReplicate_FencedPrimary_AreRejected) {
   EXPECT_TRUE(this->primary.Fence(2, "x").granted);
-  EXPECT_EQ(this->Refusal(&this->primary, Put(1, "k", 1)),
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, Put(1, "k", 1)),
             NotRunReason::kStaleTerm);
-  EXPECT_EQ(this->Refusal(&this->primary, Put(2, "k", 1)),
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, Put(2, "k", 1)),
             NotRunReason::kStaleTerm);
   EXPECT_FALSE(this->primary.Replicate(this->replica.NextPull()).accepted);
 }
 
-// Guards against a fenced replica that takes entries of the older term and
-// could then confirm them.
-TEST_F(DatabaseCoreTest, FencedReplica_ApplyPull_IsIgnored) {
-  const auto position = this->Done(&this->primary, Put(1, "k", 1)).position;
+// Guards against a fenced replica that applies entries of the older term, which
+// it could then confirm.
+TEST_F(DatabaseCoreTest, ApplyPull_FencedReplica_IsIgnored) {
+  const auto position =
+      this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1)).position;
   const ReplicateRequest pull = this->replica.NextPull();
   const ReplicateResult answer = this->primary.Replicate(pull);
   this->replica.Fence(2, "x");
@@ -136,8 +140,8 @@
   EXPECT_EQ(this->replica.Confirm(position).fence, 2U);
 }
 
-// Guards against two proposers that both hold the same term.
-TEST_F(DatabaseCoreTest, SameTerm_Fence_IsGrantedToOneProposer) {
+// Guards against a fence of one term that is granted to two proposers.
+TEST_F(DatabaseCoreTest, Fence_SameTerm_IsGrantedToOneProposer) {
   EXPECT_TRUE(this->replica.Fence(2, "x").granted);
   EXPECT_FALSE(this->replica.Fence(2, "y").granted);
   EXPECT_TRUE(this->replica.Fence(2, "x").granted);
@@ -147,16 +151,18 @@
   EXPECT_TRUE(this->replica.Promote(2, "x"));
 }
 
-// Guards against a paused proposer that promotes after a later fence.
-TEST_F(DatabaseCoreTest, LaterFence_Promote_IsRefused) {
+// Guards against a promotion by a proposer that was paused while another one
+// fenced a later term.
+TEST_F(DatabaseCoreTest, Promote_LaterFence_IsRejected) {
   this->replica.Fence(2, "x");
   this->replica.Fence(3, "y");
   EXPECT_FALSE(this->replica.Promote(2, "x"));
   EXPECT_EQ(this->replica.Status(kStart).role, DatabaseRole::kReplica);
 }
 
-// Guards against a second term-start entry after a repeated promotion.
-TEST_F(DatabaseCoreTest, RepeatedPromotion_Promote_HasNoFurtherEffect) {
+// Guards against a second entry for the start of a term after a repeated
+// promotion.
+TEST_F(DatabaseCoreTest, Promote_Repeated_HasNoFurtherEffect) {
   this->replica.Fence(2, "x");
   EXPECT_TRUE(this->replica.Promote(2, "x"));
   EXPECT_TRUE(this->replica.Promote(2, "x"));
@@ -164,15 +170,15 @@
   EXPECT_EQ(this->replica.Status(kStart).position, (LogPosition{2, 1}));
 }
 
-// Guards against two primaries of one term.
-TEST_F(DatabaseCoreTest, FollowerOfTheTerm_Promote_IsRefused) {
+// Guards against two primaries in one term.
+TEST_F(DatabaseCoreTest, Promote_FollowerInSameTerm_IsRejected) {
   this->replica.Fence(2, "x");
   this->replica.Follow(2, "other");
   EXPECT_FALSE(this->replica.Promote(2, "x"));
 }
 
-// Guards against an outdated follow that undoes a fence or a promotion.
-TEST_F(DatabaseCoreTest, Follow_BelowFenceOrOfOwnTerm_IsRefused) {
+// Guards against a stale follow request that reverts a fence or a promotion.
+TEST_F(DatabaseCoreTest, Follow_BelowFenceOrOwnTerm_IsRejected) {
   this->replica.Fence(3, "x");
   EXPECT_FALSE(this->replica.Follow(2, "other"));
   this->replica.Promote(3, "x");
@@ -183,15 +189,16 @@
   EXPECT_FALSE(this->replica.Fence(4, "x").granted);
 }
 
-// Guards against a payout that runs twice after a lost answer.
-TEST_F(DatabaseCoreTest, SameKey_Repeat_ReturnsTheStoredResults) {
+// Guards against a non-idempotent write that executes twice when the client
+// repeats it after a lost response.
+TEST_F(DatabaseCoreTest, Execute_RepeatedIdempotencyKey_ReturnsStoredResults) {
   const ExecuteRequest payout =
       WithKey(Statement(1, R"([{"op":"add","table":"t","key":"pot",
                                 "amount":-5}])"),
               "key", "digest");
-  const ExecuteDone first = this->Done(&this->primary, payout);
-  this->Done(&this->primary, Put(1, "k", 1));
-  const ExecuteDone repeat = this->Done(&this->primary, payout);
+  const ExecuteDone first = this->ExecuteExpectingDone(&this->primary, payout);
+  this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1));
+  const ExecuteDone repeat = this->ExecuteExpectingDone(&this->primary, payout);
   EXPECT_FALSE(first.replayed);
   EXPECT_TRUE(repeat.replayed);
   EXPECT_EQ(repeat.results, first.results);
@@ -199,65 +206,71 @@
   EXPECT_EQ(this->primary.DumpTables()["t"]["pot"], -5);
 }
 
-// Guards against a repeated insert that is refused by its own first run.
-TEST_F(DatabaseCoreTest, RepeatedInsert_SameKey_IsReplayedNotAConflict) {
+// Guards against a repeated insert that conflicts with the record of its own
+// first execution.
+TEST_F(DatabaseCoreTest, Execute_RepeatedInsertWithSameKey_IsReplayed) {
   const ExecuteRequest insert =
       WithKey(Statement(1, R"([{"op":"insert","table":"t","key":"k",
                                 "value":1}])"),
               "key", "digest");
-  this->Done(&this->primary, insert);
-  EXPECT_TRUE(this->Done(&this->primary, insert).replayed);
+  this->ExecuteExpectingDone(&this->primary, insert);
+  EXPECT_TRUE(this->ExecuteExpectingDone(&this->primary, insert).replayed);
 }
 
-// Guards against a key that is used for another statement.
-TEST_F(DatabaseCoreTest, OtherDigest_SameKey_IsAMismatch) {
-  this->Done(&this->primary, WithKey(Put(1, "k", 1), "key", "one"));
-  EXPECT_EQ(
-      this->Refusal(&this->primary, WithKey(Put(1, "k", 2), "key", "two")),
-      NotRunReason::kIdempotencyMismatch);
+// Guards against an idempotency key that is reused for another statement.
+TEST_F(DatabaseCoreTest, Execute_SameKeyWithOtherDigest_IsAMismatch) {
+  this->ExecuteExpectingDone(&this->primary,
+                             WithKey(Put(1, "k", 1), "key", "one"));
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary,
+                                      WithKey(Put(1, "k", 2), "key", "two")),
+            NotRunReason::kIdempotencyMismatch);
   EXPECT_EQ(this->primary.DumpTables()["t"]["k"], 1);
 }
 
-// Guards against a failed statement that leaves an entry or a record behind.
-TEST_F(DatabaseCoreTest, Conflict_Write_WritesNothing) {
-  this->Done(&this->primary, Put(1, "k", 1));
+// Guards against a conflicting statement that leaves a log entry, a record or
+// an idempotency key behind.
+TEST_F(DatabaseCoreTest, Write_Conflict_WritesNothing) {
+  this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1));
   const ExecuteRequest conflicting = WithKey(Statement(1, R"([
                   {"op":"put","table":"t","key":"new","value":1},
                   {"op":"insert","table":"t","key":"k","value":2}])"),
                                              "key", "digest");
   const json before = this->primary.DumpTables();
-  EXPECT_EQ(this->Refusal(&this->primary, conflicting),
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, conflicting),
             NotRunReason::kConflict);
   EXPECT_EQ(this->primary.LogLength(), 2U);
   EXPECT_EQ(this->primary.DumpTables(), before);
-  this->Done(&this->primary,
-             Statement(1, R"([{"op":"delete","table":"t","key":"k"}])"));
-  EXPECT_FALSE(this->Done(&this->primary, conflicting).replayed);
+  this->ExecuteExpectingDone(
+      &this->primary,
+      Statement(1, R"([{"op":"delete","table":"t","key":"k"}])"));
+  EXPECT_FALSE(
+      this->ExecuteExpectingDone(&this->primary, conflicting).replayed);
 }
 
-// Guards against a write that runs again after a promotion.
-TEST_F(DatabaseCoreTest, PromotedReplica_RepeatedKey_IsReplayed) {
+// Guards against a write that executes again when it is repeated after a
+// promotion.
+TEST_F(DatabaseCoreTest, Execute_RepeatedKeyAtPromotedReplica_IsReplayed) {
   const ExecuteRequest write = WithKey(Put(1, "k", 1), "key", "digest");
-  this->Done(&this->primary, write);
+  this->ExecuteExpectingDone(&this->primary, write);
   ASSERT_TRUE(PullAll(&this->replica, this->primary, kStart));
   this->replica.Fence(2, "x");
   this->other.Fence(2, "x");
   ASSERT_TRUE(this->replica.Promote(2, "x"));
   ExecuteRequest repeat = write;
   repeat.term = 2;
-  const ExecuteDone done = this->Done(&this->replica, repeat);
+  const ExecuteDone done = this->ExecuteExpectingDone(&this->replica, repeat);
   EXPECT_TRUE(done.replayed);
   EXPECT_EQ(done.position, (LogPosition{2, 3}));
 }
 
-// Guards against records and keys of entries that were never acknowledged and
-// have been truncated.
-TEST_F(DatabaseCoreTest, DivergedLog_Pull_ForgetsTheLostEntries) {
-  this->Done(&this->primary, Put(1, "k", "kept"));
+// Guards against records and idempotency keys that remain after their entries,
+// which were never acknowledged, have been truncated.
+TEST_F(DatabaseCoreTest, Pull_DivergedLog_DiscardsTruncatedEntries) {
+  this->ExecuteExpectingDone(&this->primary, Put(1, "k", "kept"));
   ASSERT_TRUE(PullAll(&this->replica, this->primary, kStart));
   const ExecuteRequest lost = WithKey(Put(1, "k", "lost"), "key", "digest");
-  this->Done(&this->primary, lost);
-  this->Done(&this->primary, Put(1, "other", "lost"));
+  this->ExecuteExpectingDone(&this->primary, lost);
+  this->ExecuteExpectingDone(&this->primary, Put(1, "other", "lost"));
   this->replica.Fence(2, "x");
   this->other.Fence(2, "x");
   ASSERT_TRUE(this->replica.Promote(2, "x"));
@@ -268,26 +281,27 @@
   ASSERT_TRUE(this->primary.Promote(3, "x"));
   ExecuteRequest repeat = lost;
   repeat.term = 3;
-  EXPECT_FALSE(this->Done(&this->primary, repeat).replayed);
+  EXPECT_FALSE(this->ExecuteExpectingDone(&this->primary, repeat).replayed);
 }
 
-// Guards against reads of writes that were never acknowledged, after an old
-// primary has become a replica.
-TEST_F(DatabaseCoreTest, DemotedPrimary_ReadBeforeItsFirstPull_IsLagging) {
-  this->Done(&this->primary, Put(1, "k", "lost"));
+// Guards against reads that see unacknowledged writes of a former primary that
+// has become a replica.
+TEST_F(DatabaseCoreTest, Read_DemotedPrimaryBeforeFirstPull_IsLagging) {
+  this->ExecuteExpectingDone(&this->primary, Put(1, "k", "lost"));
   this->replica.Fence(2, "x");
   this->replica.Promote(2, "x");
   this->primary.Follow(2, "replica");
-  EXPECT_EQ(this->Refusal(&this->primary, Get("k")), NotRunReason::kLagging);
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, Get("k")),
+            NotRunReason::kLagging);
   ASSERT_TRUE(PullAll(&this->primary, this->replica, kStart));
-  EXPECT_EQ(this->Done(&this->primary, Get("k")).results,
+  EXPECT_EQ(this->ExecuteExpectingDone(&this->primary, Get("k")).results,
             json::parse("[null]"));
 }
 
-// Guards against a replica that drops entries before a primary of the term has
-// named the common entry.
-TEST_F(DatabaseCoreTest, UnmatchedPull_Apply_KeepsTheLog) {
-  this->Done(&this->primary, Put(1, "k", 1));
+// Guards against a replica that truncates its log before the primary of the
+// term has matched the last common entry.
+TEST_F(DatabaseCoreTest, ApplyPull_UnmatchedPosition_KeepsTheLog) {
+  this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1));
   this->replica.Fence(2, "x");
   this->replica.Promote(2, "x");
   this->primary.Follow(2, "replica");
@@ -296,9 +310,9 @@
   EXPECT_EQ(this->primary.NextPull().from, (LogPosition{1, 1}));
 }
 
-// Guards against a late answer that is applied to a changed log.
-TEST_F(DatabaseCoreTest, AnswerToAnOlderPull_Apply_IsIgnored) {
-  this->Done(&this->primary, Put(1, "k", 1));
+// Guards against a late response that is applied to a changed log.
+TEST_F(DatabaseCoreTest, ApplyPull_ResponseToOlderPull_IsIgnored) {
+  this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1));
   const ReplicateRequest pull = this->replica.NextPull();
   const ReplicateResult answer = this->primary.Replicate(pull);
   this->replica.ApplyPull(pull, answer, kStart);
@@ -307,49 +321,54 @@
   EXPECT_EQ(this->replica.Status(kStart).age, common::Duration::zero());
 }
 
-// Guards against an entry that is confirmed because the log is longer, though
-// it holds another entry at that index.
-TEST_F(DatabaseCoreTest, EntryOfAnotherTerm_Confirm_IsNotHeld) {
-  const auto lost = this->Done(&this->primary, Put(1, "k", 1)).position;
+// Guards against the confirmation of an entry by a log that is longer but has
+// another entry at that index.
+TEST_F(DatabaseCoreTest, Confirm_EntryOfAnotherTerm_IsNotHeld) {
+  const auto lost =
+      this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1)).position;
   this->replica.Fence(2, "x");
   this->replica.Promote(2, "x");
-  this->Done(&this->replica, Put(2, "k", 2));
+  this->ExecuteExpectingDone(&this->replica, Put(2, "k", 2));
   this->other.Follow(2, "replica");
   ASSERT_TRUE(PullAll(&this->other, this->replica, kStart));
   EXPECT_GT(this->other.Status(kStart).position, lost);
   EXPECT_FALSE(this->other.Confirm(lost).held);
 }
 
-// Guards against reads that miss the session's own writes.
-TEST_F(DatabaseCoreTest, MinPosition_ReadAtReplica_WaitsForTheEntry) {
+// Guards against reads that don't see the session's own writes.
+TEST_F(DatabaseCoreTest, Read_MinPositionAtReplica_IsLaggingUntilApplied) {
   ExecuteRequest read = Get("k");
-  read.min_position = this->Done(&this->primary, Put(1, "k", 1)).position;
-  EXPECT_EQ(this->Refusal(&this->replica, read), NotRunReason::kLagging);
+  read.min_position =
+      this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1)).position;
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->replica, read),
+            NotRunReason::kLagging);
   ASSERT_TRUE(PullAll(&this->replica, this->primary, kStart));
-  EXPECT_EQ(this->Done(&this->replica, read).results, json::parse("[1]"));
+  EXPECT_EQ(this->ExecuteExpectingDone(&this->replica, read).results,
+            json::parse("[1]"));
 }
 
-// Guards against data that is older than stated: the age counts from when the
-// pull was sent, grows without pulls, and is unknown before the first one.
-TEST_F(DatabaseCoreTest, MaxAge_ReadAtReplica_IsMeasuredFromThePull) {
+// Guards against data that is older than reported. The age is measured from the
+// send time of the pull, grows while there are no pulls, and is unknown before
+// the first one.
+TEST_F(DatabaseCoreTest, Read_MaxAgeAtReplica_IsMeasuredFromThePull) {
   ExecuteRequest read = Get("k");
   read.max_age = std::chrono::milliseconds(100);
-  EXPECT_EQ(ReasonOf(this->replica.Execute(read, kStart)),
+  EXPECT_EQ(NotRunReasonOf(this->replica.Execute(read, kStart)),
             NotRunReason::kLagging);
   EXPECT_EQ(this->replica.Status(kStart).age, kUnknownAge);
   ASSERT_TRUE(PullAll(&this->replica, this->primary, kStart));
-  EXPECT_EQ(ReasonOf(this->replica.Execute(read, kStart + *read.max_age)),
+  EXPECT_EQ(NotRunReasonOf(this->replica.Execute(read, kStart + *read.max_age)),
             std::nullopt);
   const SteadyTime late = kStart + *read.max_age + std::chrono::nanoseconds(1);
-  EXPECT_EQ(ReasonOf(this->replica.Execute(read, late)),
+  EXPECT_EQ(NotRunReasonOf(this->replica.Execute(read, late)),
             NotRunReason::kLagging);
 }
 
-// Guards against a fresh age while the primary's log has more entries.
-TEST_F(DatabaseCoreTest, IncompletePull_Apply_DoesNotRefreshTheAge) {
+// Guards against an age that is reset while the primary's log has more entries.
+TEST_F(DatabaseCoreTest, ApplyPull_IncompleteResponse_DoesNotResetTheAge) {
   constexpr int kEntries = 400;
   for (int entry = 0; entry < kEntries; ++entry) {
-    this->Done(&this->primary, Put(1, "k", entry));
+    this->ExecuteExpectingDone(&this->primary, Put(1, "k", entry));
   }
   PullOnce(&this->replica, this->primary, kStart);
   EXPECT_GT(this->replica.LogLength(), 0U);
@@ -357,18 +376,20 @@
   EXPECT_EQ(this->replica.Status(kStart).age, kUnknownAge);
 }
 
-// Guards against a superseded primary that calls its data fresh.
-TEST_F(DatabaseCoreTest, FencedPrimary_ReadWithMaxAge_IsLagging) {
+// Guards against a superseded primary that reports its data as up to date.
+TEST_F(DatabaseCoreTest, Read_MaxAgeAtFencedPrimary_IsLagging) {
   ExecuteRequest read = Get("k");
   read.max_age = std::chrono::hours(1);
-  EXPECT_EQ(this->Refusal(&this->primary, read), std::nullopt);
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, read), std::nullopt);
   this->primary.Fence(2, "x");
-  EXPECT_EQ(this->Refusal(&this->primary, read), NotRunReason::kLagging);
+  EXPECT_EQ(this->ExecuteAndGetReason(&this->primary, read),
+            NotRunReason::kLagging);
 }
 
-// Guards against a write that is acknowledged though only the primary has it.
-TEST_F(DatabaseCoreTest, Confirm_NeedsTheExactEntryAtAReplica) {
-  const auto position = this->Done(&this->primary, Put(1, "k", 1)).position;
+// Guards against the acknowledgement of a write that only the primary has.
+TEST_F(DatabaseCoreTest, Confirm_OtherPositionOrPrimary_IsNotHeld) {
+  const auto position =
+      this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1)).position;
   EXPECT_FALSE(this->primary.Confirm(position).held);
   EXPECT_FALSE(this->replica.Confirm(position).held);
   EXPECT_FALSE(this->replica.Confirm(LogPosition()).held);
@@ -378,9 +399,9 @@
   EXPECT_FALSE(this->replica.Confirm({1, position.index + 1}).held);
 }
 
-/// Three databases that are driven at random. Promotions follow the
-/// coordinator's rule: the most advanced of the databases that granted a
-/// majority of fences.
+/// Three databases with random operations. Promotions follow the coordinator's
+/// rule: among a majority that granted the fence, the database with the longest
+/// log is promoted.
 class RandomGroup {
  public:
   RandomGroup() {
@@ -389,8 +410,9 @@
     this->databases[2].Follow(1, "0");
   }
 
-  /// Kinds of step; writes and pulls are far more frequent than faults.
-  static constexpr int kKinds = 20;
+  /// Range of the random step number. Most numbers are writes and pulls;
+  /// promotions and fences have one each.
+  static constexpr int kStepRange = 20;
 
   void Step(int kind, std::size_t target) {
     constexpr int kWrites = 7;
@@ -409,19 +431,19 @@
     }
   }
 
-  /// Promotes one more database with all members reachable and lets the others
-  /// follow and pull.
-  DatabaseCore* Settle() {
+  /// Promotes one more database while all members are reachable, then lets the
+  /// others follow it and catch up.
+  DatabaseCore* PromoteAndCatchUp() {
     const Term term = this->HighestTerm() + 1;
     this->databases[0].Fence(term, "final");
-    const std::size_t chosen = this->Promote(1, term);
+    const std::size_t promoted = this->Promote(1, term);
     for (std::size_t member = 0; member < kMembers; ++member) {
-      if (member == chosen) continue;
-      RC_ASSERT(this->databases[member].Follow(term, std::to_string(chosen)));
+      if (member == promoted) continue;
+      RC_ASSERT(this->databases[member].Follow(term, std::to_string(promoted)));
       RC_ASSERT(
-          PullAll(&this->databases[member], this->databases[chosen], kStart));
+          PullAll(&this->databases[member], this->databases[promoted], kStart));
     }
-    return &this->databases[chosen];
+    return &this->databases[promoted];
   }
 
   static constexpr int kMembers = 3;
@@ -438,8 +460,8 @@
     return highest;
   }
 
-  /// Writes at one database and acknowledges the write if another database
-  /// pulled it, as AcknowledgementRule does.
+  /// Writes to one database. The write becomes acknowledged when another
+  /// database confirms it after a pull, as AcknowledgementRule does.
   void Write(std::size_t target) {
     const int number = ++this->writes;
     ExecuteRequest request;
@@ -468,15 +490,18 @@
     }
   }
 
-  /// Fences the target and the next member; returns the promoted member.
+  /// Fences the target and the next member, then promotes the one with the
+  /// longer log. Returns the promoted member, or kMembers if a fence was not
+  /// granted.
   std::size_t Promote(std::size_t target, Term term) {
     const std::size_t second = (target + 1) % kMembers;
-    const FenceResult one = this->databases[target].Fence(term, "p");
-    const FenceResult two = this->databases[second].Fence(term, "p");
-    if (!one.granted || !two.granted) return kMembers;
-    const std::size_t chosen = one.position < two.position ? second : target;
-    RC_ASSERT(this->databases[chosen].Promote(term, "p"));
-    return chosen;
+    const FenceResult first_fence = this->databases[target].Fence(term, "p");
+    const FenceResult second_fence = this->databases[second].Fence(term, "p");
+    if (!first_fence.granted || !second_fence.granted) return kMembers;
+    const std::size_t promoted =
+        first_fence.position < second_fence.position ? second : target;
+    RC_ASSERT(this->databases[promoted].Promote(term, "p"));
+    return promoted;
   }
 
   void FollowNewest(std::size_t target) {
@@ -497,29 +522,29 @@
   std::vector<std::pair<ExecuteRequest, LogPosition>> pending;
 };
 
-/// Any integer below the limit; without the fixed size, RapidCheck would give
-/// the early cases only the smallest.
-rc::Gen<int> FullRange(int limit) {
+/// Any integer from 0 up to the limit. The fixed size is needed because
+/// RapidCheck restricts early cases to small values.
+rc::Gen<int> UniformBelow(int limit) {
   return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, limit));
 }
 
-// Guards against replicas that differ from their primary, and acknowledged
-// writes that are lost or run twice, after any order of writes, pulls, fences,
-// promotions and truncations.
-RC_GTEST_PROP(DatabaseGroupProperty, AnyHistory_Settle_KeepsEveryAcknowledged,
-              ()) {
+// Guards against replicas that differ from their primary, and against
+// acknowledged writes that are lost or execute twice, after any sequence of
+// writes, pulls, fences, promotions and truncations.
+RC_GTEST_PROP(DatabaseGroupProperty,
+              PromoteAndCatchUp_AnyHistory_KeepsAcknowledgedWrites, ()) {
   RandomGroup group;
-  // Short histories rarely have a write, its confirmation, a promotion and a
+  // Short histories rarely contain a write, its confirmation, a promotion and a
   // truncation in this order.
   constexpr int kMaxSteps = 300;
-  const auto count = *FullRange(kMaxSteps);
+  const auto count = *UniformBelow(kMaxSteps);
   const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
-      count, rc::gen::pair(FullRange(RandomGroup::kKinds),
-                           FullRange(RandomGroup::kMembers)));
+      count, rc::gen::pair(UniformBelow(RandomGroup::kStepRange),
+                           UniformBelow(RandomGroup::kMembers)));
   for (const auto& [kind, target] : steps) {
     group.Step(kind, static_cast<std::size_t>(target));
   }
-  DatabaseCore* primary = group.Settle();
+  DatabaseCore* primary = group.PromoteAndCatchUp();
   const json tables = primary->DumpTables();
   for (const DatabaseCore& database : group.databases) {
     RC_ASSERT(database.DumpTables() == tables);
--- a/Source/UnitTests/StandIns/database_messages_test.cc
+++ b/Source/UnitTests/StandIns/database_messages_test.cc
@@ -21,9 +21,10 @@
   DatabaseCore replica{"b"};
 };
 
-// Guards against entries that lose their idempotency record or results on the
-// way to a replica, so that a promoted one runs the statement again.
-TEST_F(DatabaseMessagesTest, PulledEntry_Promoted_StillReplays) {
+// Guards against entries whose idempotency key or results are lost in
+// replication, so that a promoted replica would execute the statement again.
+TEST_F(DatabaseMessagesTest,
+       Execute_RepeatedKeyAfterReplicationAsJson_IsReplayed) {
   const ExecuteMessage message = ParseExecute(R"({
       "term":1,"operations":[{"op":"add","table":"t","key":"k","amount":2}],
       "idempotency":{"workspace":"w","key":"i","digest":"d"},
@@ -46,8 +47,8 @@
       "replayed":true})"));
 }
 
-// Guards against statements with fields that the database would ignore.
-TEST_F(DatabaseMessagesTest, UnknownField_ParseExecute_Throws) {
+// Guards against unknown fields of statements that are silently ignored.
+TEST_F(DatabaseMessagesTest, ParseExecute_UnknownField_Throws) {
   constexpr const char* kOperations =
       R"("operations":[{"op":"get","table":"t","key":"k"}])";
   const std::string good = std::string("{") + kOperations + "}";
@@ -61,9 +62,10 @@
                request::BadOperationError);
 }
 
-// Guards against data that is reported as fresher than it is, and against an
-// unknown age that overflows when it is read back.
-TEST_F(DatabaseMessagesTest, Age_InMilliseconds_IsNeverTooLow) {
+// Guards against data that is reported as more recent than it is, and against
+// an unknown age that overflows when it is converted back.
+TEST_F(DatabaseMessagesTest,
+       AgeToMilliseconds_FractionOrUnknown_IsNeverTooLow) {
   EXPECT_EQ(AgeToMilliseconds(common::Duration::zero()), 0);
   EXPECT_EQ(AgeToMilliseconds(std::chrono::nanoseconds(1)), 1);
   EXPECT_EQ(AgeToMilliseconds(std::chrono::milliseconds(5)), 5);
--- a/Source/UnitTests/StandIns/network_fault_injector_test.cc
+++ b/Source/UnitTests/StandIns/network_fault_injector_test.cc
@@ -5,37 +5,40 @@
 namespace camphorferry::standins {
 namespace {
 
-class AnswerGateTest : public testing::Test {
+class NetworkFaultInjectorTest : public testing::Test {
  protected:
-  AnswerGate gate;
+  NetworkFaultInjector network_faults;
 };
 
-// Guards against a connection that pays for its setup, or is counted as new,
-// more than once.
-TEST_F(AnswerGateTest, SecondRequest_NoteConnection_IsNotFirst) {
-  EXPECT_TRUE(this->gate.NoteConnection(1));
-  EXPECT_FALSE(this->gate.NoteConnection(1));
-  EXPECT_TRUE(this->gate.NoteConnection(2));
-  EXPECT_FALSE(this->gate.NoteConnection(1));
+// Guards against a connection that is treated as new more than once: each time
+// it would get the connect delay and be checked against the connection limit.
+TEST_F(NetworkFaultInjectorTest,
+       RegisterConnection_SecondRequest_ReturnsFalse) {
+  EXPECT_TRUE(this->network_faults.RegisterConnection(1));
+  EXPECT_FALSE(this->network_faults.RegisterConnection(1));
+  EXPECT_TRUE(this->network_faults.RegisterConnection(2));
+  EXPECT_FALSE(this->network_faults.RegisterConnection(1));
 }
 
-// Guards against a silent connection that answers again, and against new
+// Guards against responses on a silenced connection, and against new
 // connections that are silent too.
-TEST_F(AnswerGateTest, SilenceOpen_AffectsOnlyOpenConnections) {
-  this->gate.NoteConnection(1);
-  this->gate.SilenceOpen();
-  this->gate.NoteConnection(2);
-  EXPECT_TRUE(this->gate.IsSilent(1));
-  EXPECT_FALSE(this->gate.IsSilent(2));
+TEST_F(NetworkFaultInjectorTest,
+       SilenceOpenConnections_LaterConnection_IsNotSilent) {
+  this->network_faults.RegisterConnection(1);
+  this->network_faults.SilenceOpenConnections();
+  this->network_faults.RegisterConnection(2);
+  EXPECT_TRUE(this->network_faults.IsSilent(1));
+  EXPECT_FALSE(this->network_faults.IsSilent(2));
 }
 
-// Guards against an isolated database that is reached by a new connection.
-TEST_F(AnswerGateTest, Isolated_AllConnections_AreSilentUntilItEnds) {
-  this->gate.SetIsolated(true);
-  EXPECT_TRUE(this->gate.IsSilent(1));
-  EXPECT_TRUE(this->gate.IsSilent(2));
-  this->gate.SetIsolated(false);
-  EXPECT_FALSE(this->gate.IsSilent(2));
+// Guards against an isolated database that responds on new connections.
+TEST_F(NetworkFaultInjectorTest,
+       SetIsolated_AllConnections_AreSilentUntilItEnds) {
+  this->network_faults.SetIsolated(true);
+  EXPECT_TRUE(this->network_faults.IsSilent(1));
+  EXPECT_TRUE(this->network_faults.IsSilent(2));
+  this->network_faults.SetIsolated(false);
+  EXPECT_FALSE(this->network_faults.IsSilent(2));
 }
 
 }  // namespace
--- a/Source/UnitTests/StandIns/object_store_core_test.cc
+++ b/Source/UnitTests/StandIns/object_store_core_test.cc
@@ -19,14 +19,14 @@
   ObjectStoreCore store;
 };
 
-// Guards against an object that is reported before anything was stored.
-TEST_F(ObjectStoreCoreTest, NoObject_Get_IsAbsent) {
+// Guards against a result for an object that was never stored.
+TEST_F(ObjectStoreCoreTest, Get_NoObject_ReturnsNothing) {
   EXPECT_FALSE(this->store.Get("config"));
-  EXPECT_FALSE(this->store.GetNewer("config", 0));
+  EXPECT_FALSE(this->store.GetIfNewer("config", 0));
 }
 
-// Guards against two operators who both create the same object.
-TEST_F(ObjectStoreCoreTest, ExistingObject_CreateAgain_Conflicts) {
+// Guards against two operators that both create the same object.
+TEST_F(ObjectStoreCoreTest, Put_CreateExistingObject_Conflicts) {
   EXPECT_EQ(this->PutVersion("config", "first", 0), 1U);
   const PutResult second = this->store.Put("config", "second", 0);
   ASSERT_TRUE(std::holds_alternative<PutConflict>(second));
@@ -34,8 +34,8 @@
   EXPECT_EQ(this->store.Get("config")->value, "first");
 }
 
-// Guards against a lost update after a conditional put with an old version.
-TEST_F(ObjectStoreCoreTest, OldVersion_Put_ConflictsAndChangesNothing) {
+// Guards against a lost update by a conditional put with an old version.
+TEST_F(ObjectStoreCoreTest, Put_OldVersion_ConflictsAndChangesNothing) {
   this->PutVersion("config", "first", 0);
   EXPECT_EQ(this->PutVersion("config", "second", 1), 2U);
   const PutResult late = this->store.Put("config", "late", 1);
@@ -45,25 +45,25 @@
   EXPECT_EQ(this->store.Get("config")->value, "second");
 }
 
-// Guards against a put that invents versions the store never gave out.
-TEST_F(ObjectStoreCoreTest, FutureVersion_Put_Conflicts) {
+// Guards against a put with a version that the store has not assigned.
+TEST_F(ObjectStoreCoreTest, Put_FutureVersion_Conflicts) {
   EXPECT_TRUE(std::holds_alternative<PutConflict>(
       this->store.Put("config", "value", 3)));
   EXPECT_FALSE(this->store.Get("config"));
 }
 
-// Guards against watches that fire without a change or miss one.
-TEST_F(ObjectStoreCoreTest, Watch_AfterVersion_YieldsOnlyNewerObjects) {
+// Guards against watches that return without a change or miss one.
+TEST_F(ObjectStoreCoreTest, GetIfNewer_GivenVersion_ReturnsOnlyNewerObjects) {
   this->PutVersion("config", "first", 0);
-  EXPECT_TRUE(this->store.GetNewer("config", 0));
-  EXPECT_FALSE(this->store.GetNewer("config", 1));
+  EXPECT_TRUE(this->store.GetIfNewer("config", 0));
+  EXPECT_FALSE(this->store.GetIfNewer("config", 1));
   this->PutVersion("config", "second", 1);
-  ASSERT_TRUE(this->store.GetNewer("config", 1));
-  EXPECT_EQ(this->store.GetNewer("config", 1)->value, "second");
+  ASSERT_TRUE(this->store.GetIfNewer("config", 1));
+  EXPECT_EQ(this->store.GetIfNewer("config", 1)->value, "second");
 }
 
-// Guards against paths that share one version counter or value.
-TEST_F(ObjectStoreCoreTest, TwoPaths_Put_AreIndependent) {
+// Guards against paths that share a version counter or a value.
+TEST_F(ObjectStoreCoreTest, Put_TwoPaths_AreIndependent) {
   this->PutVersion("rates/a", 1, 0);
   this->PutVersion("rates/a", 2, 1);
   EXPECT_EQ(this->PutVersion("rates/b", 1, 0), 1U);
--- a/Source/UnitTests/StandIns/record_store_test.cc
+++ b/Source/UnitTests/StandIns/record_store_test.cc
@@ -16,7 +16,7 @@
   return store->Apply(request::ParseOperations(json::parse(operations)));
 }
 
-/// Operations over few keys, so that conflicts are frequent.
+/// Random operations on few keys, so that conflicts are frequent.
 rc::Gen<request::Operation> AnyOperation() {
   const auto key = rc::gen::element<std::string>("a", "aa", "b", "c");
   const auto value = rc::gen::element<json>(1, "text", nullptr, 7);
@@ -52,8 +52,9 @@
   RecordStore store;
 };
 
-// Guards against operations that do not see the effects of earlier ones.
-TEST_F(RecordStoreTest, OneTransaction_LaterOperations_SeeEarlierEffects) {
+// Guards against operations that don't see the effects of earlier operations of
+// their transaction.
+TEST_F(RecordStoreTest, Apply_SeveralOperations_SeeEarlierEffects) {
   const auto results = Apply(&this->store, R"([
       {"op":"put","table":"t","key":"k","value":1},
       {"op":"add","table":"t","key":"k","amount":4},
@@ -66,8 +67,8 @@
   EXPECT_EQ(this->store.Dump(), json::parse(R"({"t":{"k":"new"}})"));
 }
 
-// Guards against half of a transaction that stays after a conflict.
-TEST_F(RecordStoreTest, InsertOfExistingKey_Apply_ChangesNothing) {
+// Guards against a partly applied transaction after a conflict.
+TEST_F(RecordStoreTest, Apply_InsertOfExistingKey_ChangesNothing) {
   Apply(&this->store, R"([{"op":"put","table":"t","key":"k","value":"old"}])");
   EXPECT_FALSE(Apply(&this->store, R"([
       {"op":"put","table":"t","key":"k","value":"new"},
@@ -77,8 +78,9 @@
   EXPECT_EQ(this->store.Dump(), json::parse(R"({"t":{"k":"old"}})"));
 }
 
-// Guards against sums that wrap around or replace other values.
-TEST_F(RecordStoreTest, AddWithoutIntegerSum_Apply_Conflicts) {
+// Guards against sums that overflow, and against additions to other values than
+// integers.
+TEST_F(RecordStoreTest, Apply_AddWithoutIntegerSum_Conflicts) {
   const json largest = std::numeric_limits<std::int64_t>::max();
   const json above = std::numeric_limits<std::uint64_t>::max();
   this->store.Apply({request::PutOperation{"t", "largest", largest},
@@ -91,8 +93,8 @@
   EXPECT_EQ(this->store.Dump(), before);
 }
 
-// Guards against scans that leave their prefix, table, limit or order.
-TEST_F(RecordStoreTest, Scan_PrefixAndLimit_BoundTheResult) {
+// Guards against scans that violate their prefix, table, limit or order.
+TEST_F(RecordStoreTest, Read_ScanWithPrefixAndLimit_BoundsTheResult) {
   Apply(&this->store, R"([
       {"op":"put","table":"t","key":"b2","value":2},
       {"op":"put","table":"t","key":"b1","value":1},
@@ -106,9 +108,10 @@
             json::parse(R"([[{"key":"b1","value":9}]])"));
 }
 
-// Guards against statements that are applied in part: the records afterwards
-// are those before, or those after running each operation by itself.
-RC_GTEST_PROP(RecordStoreProperty, AnyStatement_Apply_IsWholeOrNothing, ()) {
+// Guards against statements that are applied in part: afterwards, the records
+// are either unchanged or equal to those after executing each operation
+// separately.
+RC_GTEST_PROP(RecordStoreProperty, Apply_AnyStatement_IsAtomic, ()) {
   RecordStore store;
   const auto statements =
       *rc::gen::container<std::vector<request::Operations>>(rc::gen::nonEmpty(
--- a/Source/UnitTests/StandIns/statement_slots_test.cc
+++ b/Source/UnitTests/StandIns/statement_slots_test.cc
@@ -18,8 +18,8 @@
   std::vector<int> started;
 };
 
-// Guards against more statements at once than the database has slots.
-TEST_F(StatementSlotsTest, AllSlotsTaken_Submit_WaitsInOrder) {
+// Guards against more concurrent statements than the database has slots.
+TEST_F(StatementSlotsTest, Submit_AllSlotsTaken_WaitsInOrder) {
   for (const int statement : {1, 2, 3, 4}) EXPECT_TRUE(this->Submit(statement));
   EXPECT_EQ(this->started, (std::vector<int>{1, 2}));
   this->slots.Release();
@@ -27,16 +27,16 @@
   EXPECT_EQ(this->slots.Running(), 2U);
 }
 
-// Guards against a queue that grows without a bound.
-TEST_F(StatementSlotsTest, FullQueue_Submit_IsRefused) {
+// Guards against a queue that grows without bound.
+TEST_F(StatementSlotsTest, Submit_FullQueue_IsRejected) {
   for (const int statement : {1, 2, 3, 4}) this->Submit(statement);
   EXPECT_FALSE(this->Submit(5));
   this->slots.Release();
   EXPECT_TRUE(this->Submit(6));
 }
 
-// Guards against slots that are lost when nothing waits.
-TEST_F(StatementSlotsTest, EmptyQueue_Release_FreesTheSlot) {
+// Guards against slots that leak when the queue is empty.
+TEST_F(StatementSlotsTest, Release_EmptyQueue_FreesTheSlot) {
   this->Submit(1);
   this->slots.Release();
   EXPECT_EQ(this->slots.Running(), 0U);
