--- a/Source/Soak/database_group.cc
+++ b/Source/Soak/database_group.cc
@@ -9,20 +9,20 @@
 
 using platform::Treatment;
 
-/// Usual lag of a replica behind the commits that others hold.
-constexpr std::chrono::milliseconds kReplicaLag(30);
-/// Time from the order of a promotion to its effect.
-constexpr std::chrono::milliseconds kPromotionTime(300);
-/// A replaced primary learns of it this long after the promotion.
-constexpr std::chrono::milliseconds kOldPrimaryLearns(1000);
-/// One of so many statements loses its answer while answers are lost.
-constexpr unsigned kLostAnswerPart = 20;
+/// Replication lag of a replica without faults.
+constexpr std::chrono::milliseconds kReplicationInterval(30);
+/// Delay between a promotion request and its effect.
+constexpr std::chrono::milliseconds kPromotionDelay(300);
+/// Delay between a promotion and the demotion of the previous primary.
+constexpr std::chrono::milliseconds kDemotionDelay(1000);
+/// While responses are lost, every nth statement executes without a response.
+constexpr unsigned kStatementsPerLostResponse = 20;
 
 }  // namespace
 
 DatabaseGroup::DatabaseGroup(connection::EventLoop* loop,
                              platform::FakeStore* store,
-                             PromiseChecker* checker, std::string service)
+                             GuaranteeChecker* checker, std::string service)
     : loop(loop), store(store), checker(checker), service(std::move(service)) {
   constexpr int kMembers = 3;
   for (int index = 0; index < kMembers; ++index) {
@@ -32,24 +32,26 @@
     raw->database =
         std::make_unique<platform::FakeDatabase>(loop, this->service, raw->id);
     raw->relay =
-        std::make_unique<LinkRelay>(loop, raw->database->Entry().address);
+        std::make_unique<TcpRelay>(loop, raw->database->Entry().address);
     raw->database->primary = index == 0;
     raw->database->on_commit = [this, raw] {
-      this->acknowledged = this->Replicate(raw);
+      this->commit_replicated = this->Replicate(raw);
     };
-    raw->database->acknowledges = [this] { return this->acknowledged; };
+    raw->database->acknowledges = [this] { return this->commit_replicated; };
     raw->database->on_run = [this, raw](const platform::RunStatement& run) {
-      this->OnRun(*raw, run);
+      this->OnExecuted(*raw, run);
     };
     raw->database->treat = [this](const std::string& text) {
-      const bool plain = text.find("STATUS") == std::string::npos;
-      const bool loses = this->lose_answers && plain &&
-                         ++this->lose_counter % kLostAnswerPart == 0;
-      return loses ? Treatment::kRunAndHang : Treatment::kRun;
+      const bool is_statement = text.find("STATUS") == std::string::npos;
+      const bool lose_response =
+          this->lose_responses && is_statement &&
+          ++this->statement_counter % kStatementsPerLostResponse == 0;
+      return lose_response ? Treatment::kRunAndHang : Treatment::kRun;
     };
     this->members.push_back(std::move(member));
   }
-  this->catch_up = loop->Every(kReplicaLag, [this] { this->CatchUp(); });
+  this->catch_up_timer =
+      loop->Every(kReplicationInterval, [this] { this->CatchUp(); });
 }
 
 void DatabaseGroup::Register() {
@@ -67,35 +69,35 @@
 }
 
 const DatabaseGroup::Member* DatabaseGroup::Leader() const {
-  const Member* best = nullptr;
+  const Member* latest = nullptr;
   for (const auto& member : this->members) {
     if (!member->database->primary) continue;
-    if (best == nullptr || member->database->term > best->database->term) {
-      best = member.get();
+    if (latest == nullptr || member->database->term > latest->database->term) {
+      latest = member.get();
     }
   }
-  return best;
+  return latest;
 }
 
-void DatabaseGroup::Copy(const Member& from, Member* to) {
+void DatabaseGroup::CopyLog(const Member& from, Member* to) {
   to->database->log = from.database->log;
   to->database->position = from.database->position;
   to->database->term = from.database->term;
-  to->held_ids = from.held_ids;
+  to->commit_ids = from.commit_ids;
 }
 
 bool DatabaseGroup::Replicate(Member* primary) {
   const auto& log = primary->database->log;
   for (auto it = log.rbegin();
-       it != log.rend() && primary->held_ids.insert(it->id).second; ++it) {
+       it != log.rend() && primary->commit_ids.insert(it->id).second; ++it) {
   }
   if (primary != this->Leader()) return false;
   for (const auto& replica : this->members) {
-    const bool receives = replica.get() != primary && !replica->down &&
-                          replica->database->held == 0 &&
-                          replica->database->term <= primary->database->term;
-    if (!receives) continue;
-    this->Copy(*primary, replica.get());
+    const bool can_receive = replica.get() != primary && !replica->down &&
+                             replica->database->held == 0 &&
+                             replica->database->term <= primary->database->term;
+    if (!can_receive) continue;
+    this->CopyLog(*primary, replica.get());
     return true;
   }
   return false;
@@ -105,21 +107,21 @@
   const Member* leader = this->Leader();
   if (leader == nullptr || leader->down || this->replicas_lag) return;
   for (const auto& replica : this->members) {
-    const bool receives = replica.get() != leader && !replica->down &&
-                          !replica->database->primary &&
-                          replica->database->held == 0;
-    if (receives) this->Copy(*leader, replica.get());
+    const bool can_receive = replica.get() != leader && !replica->down &&
+                             !replica->database->primary &&
+                             replica->database->held == 0;
+    if (can_receive) this->CopyLog(*leader, replica.get());
   }
 }
 
-void DatabaseGroup::OnRun(const Member& member,
-                          const platform::RunStatement& statement) {
-  StatementAtDatabase run;
+void DatabaseGroup::OnExecuted(const Member& member,
+                               const platform::RunStatement& statement) {
+  ExecutedStatement run;
   run.id = statement.id;
   run.caller = statement.caller;
   run.values = statement.values;
-  run.held = &member.held_ids;
-  this->checker->OnRun(run, common::SteadyNow());
+  run.held_commits = &member.commit_ids;
+  this->checker->OnExecuted(run, common::SteadyNow());
 }
 
 bool DatabaseGroup::Promote(const std::string& id) {
@@ -128,38 +130,38 @@
                    [&](const auto& member) { return member->id == id; });
   if (found == this->members.end() || (*found)->down) return false;
   if (found->get() == this->Leader()) return true;
-  this->loop->RunLater(kPromotionTime, [this, chosen = found->get()] {
-    this->FinishPromotion(chosen);
+  this->loop->RunLater(kPromotionDelay, [this, candidate = found->get()] {
+    this->FinishPromotion(candidate);
   });
   return true;
 }
 
-void DatabaseGroup::FinishPromotion(Member* chosen) {
-  if (chosen->down || chosen == this->Leader()) return;
+void DatabaseGroup::FinishPromotion(Member* candidate) {
+  if (candidate->down || candidate == this->Leader()) return;
   common::Term highest = 0;
   for (const auto& member : this->members) {
     highest = std::max(highest, member->database->term);
   }
-  platform::FakeDatabase& database = *chosen->database;
+  platform::FakeDatabase& database = *candidate->database;
   database.primary = true;
   database.term = highest + 1;
   database.position.term = database.term;
   database.held = 0;
   for (const auto& member : this->members) {
-    if (member.get() == chosen || member->down) continue;
+    if (member.get() == candidate || member->down) continue;
     if (!member->database->primary) {
       member->database->held = 0;
-      this->Copy(*chosen, member.get());
+      this->CopyLog(*candidate, member.get());
     }
   }
-  this->Publish(*chosen);
-  this->loop->RunLater(kOldPrimaryLearns, [this] {
+  this->Publish(*candidate);
+  this->loop->RunLater(kDemotionDelay, [this] {
     Member* leader = this->Leader();
     for (const auto& member : this->members) {
       if (member.get() == leader || member->down) continue;
       if (!member->database->primary) continue;
       member->database->primary = false;
-      this->Copy(*leader, member.get());
+      this->CopyLog(*leader, member.get());
       this->Publish(*member);
     }
   });
@@ -179,14 +181,14 @@
     member->relay->SetState(LinkState::kOpen);
     member->database->held = 0;
     if (member.get() == leader) continue;
-    // A primary that crashed comes back as a replica of the one that followed.
+    // A crashed primary restarts as a replica of the current primary.
     member->database->primary = false;
-    this->Copy(*leader, member.get());
+    this->CopyLog(*leader, member.get());
     this->Publish(*member);
   }
 }
 
-void DatabaseGroup::SetLinks(LinkState state) {
+void DatabaseGroup::SetLinkState(LinkState state) {
   for (const auto& member : this->members) {
     if (!member->down) member->relay->SetState(state);
   }
@@ -196,7 +198,7 @@
   for (const auto& member : this->members) member->relay->ResetAll();
 }
 
-std::vector<std::string> DatabaseGroup::Committed() const {
+std::vector<std::string> DatabaseGroup::CommittedIds() const {
   std::vector<std::string> ids;
   for (const platform::Commit& commit : this->Leader()->database->log) {
     ids.push_back(commit.id);
--- a/Source/Soak/database_group.h
+++ b/Source/Soak/database_group.h
@@ -13,68 +13,75 @@
 
 namespace camphorferry::soak {
 
-/// One service: three databases that replicate asynchronously, each behind a
-/// relay of its own. A commit is acknowledged once one replica has it.
+/// Replication group of one service: three simulated databases, each behind its
+/// own TCP relay. Replication is asynchronous, but a commit is acknowledged
+/// only after one replica has received it.
 class DatabaseGroup {
  public:
   DatabaseGroup(connection::EventLoop* loop, platform::FakeStore* store,
-                PromiseChecker* checker, std::string service);
+                GuaranteeChecker* checker, std::string service);
 
-  /// Registers the databases in the store.
+  /// Publishes the entries of all databases in the store.
   void Register();
 
-  /// Carries out a promotion after its usual time; false if the database is
-  /// not one of the group or is down.
+  /// Starts a promotion, which takes effect after a delay. Returns false if the
+  /// database is not a member of the group or is down.
   bool Promote(const std::string& id);
 
-  /// Makes the present primary unreachable, or reachable again with its log.
+  /// Makes the current primary unreachable.
   void CrashPrimary();
+  /// Makes all databases reachable again, with their logs.
   void RestoreAll();
 
-  /// Harms the links to all databases.
-  void SetLinks(LinkState state);
+  /// Sets the state of the links to all databases that are not down.
+  void SetLinkState(LinkState state);
+  /// Resets all connections to the databases.
   void ResetConnections();
 
-  /// Replicas receive nothing for a while beyond what makes commits safe.
+  /// While set, a commit reaches only the replica that acknowledges it; the
+  /// others don't catch up.
   void SetReplicasLag(bool lag) { this->replicas_lag = lag; }
 
-  /// A part of the requests run and have no answer.
-  void SetLoseAnswers(bool lose) { this->lose_answers = lose; }
+  /// While set, some statements execute but get no response.
+  void SetLoseResponses(bool lose) { this->lose_responses = lose; }
 
   const std::string& Service() const { return this->service; }
 
-  /// Identifiers of the commits in the log of the latest primary.
-  std::vector<std::string> Committed() const;
+  /// Identifiers of the commits in the log of the current primary.
+  std::vector<std::string> CommittedIds() const;
 
  private:
   struct Member {
     std::string id;
     std::unique_ptr<platform::FakeDatabase> database;
-    std::unique_ptr<LinkRelay> relay;
-    std::set<std::string> held_ids;
+    std::unique_ptr<TcpRelay> relay;
+    std::set<std::string> commit_ids;
     bool down = false;
   };
 
   void Publish(const Member& member);
-  void Copy(const Member& from, Member* to);
-  /// Brings a commit to one replica at once; false if none receives.
+  void CopyLog(const Member& from, Member* to);
+  /// Copies a new commit to one replica. Returns false if no replica can
+  /// receive it or if the database is no longer the current primary.
   bool Replicate(Member* primary);
   void CatchUp();
-  void OnRun(const Member& member, const platform::RunStatement& statement);
-  void FinishPromotion(Member* chosen);
+  void OnExecuted(const Member& member,
+                  const platform::RunStatement& statement);
+  void FinishPromotion(Member* candidate);
+  /// The primary of the highest term.
   Member* Leader();
   const Member* Leader() const;
 
   connection::EventLoop* loop;
   platform::FakeStore* store;
-  PromiseChecker* checker;
+  GuaranteeChecker* checker;
   std::string service;
   std::vector<std::unique_ptr<Member>> members;
   bool replicas_lag = false;
-  bool lose_answers = false;
-  unsigned lose_counter = 0;
-  bool acknowledged = false;
-  std::unique_ptr<connection::Timer> catch_up;
+  bool lose_responses = false;
+  unsigned statement_counter = 0;
+  bool commit_replicated = false;
+  std::unique_ptr<connection::Timer> catch_up_timer;
 };
 
 }  // namespace camphorferry::soak
--- a/Source/Soak/fault_schedule.cc
+++ b/Source/Soak/fault_schedule.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::array<FaultKind, 21> kKinds = {
+constexpr std::array<FaultKind, 21> kAllFaultKinds = {
     FaultKind::kStopProxy,
     FaultKind::kKillProxy,
     FaultKind::kFreezeProxy,
@@ -31,10 +31,10 @@
     FaultKind::kKeyWithdrawn,
     FaultKind::kSettingsSignal};
 
-/// Quiet time at the end, in which the system must serve everything again.
-constexpr std::chrono::seconds kQuietEnd(9);
-/// Traffic runs for this long before the first fault.
-constexpr std::chrono::seconds kQuietStart(2);
+/// Time without faults at the end of a run, in which the system must recover.
+constexpr std::chrono::seconds kFaultFreeEnd(9);
+/// Time under load before the first fault.
+constexpr std::chrono::seconds kFaultFreeStart(2);
 
 }  // namespace
 
@@ -93,24 +93,24 @@
         least + static_cast<int>(random() % (most - least)));
   };
   std::vector<Fault> faults;
-  common::Duration at = kQuietStart;
-  while (at < length - kQuietEnd) {
+  common::Duration at = kFaultFreeStart;
+  while (at < length - kFaultFreeEnd) {
     Fault fault;
-    fault.kind = kKinds[random() % kKinds.size()];
+    fault.kind = kAllFaultKinds[random() % kAllFaultKinds.size()];
     fault.at = at;
-    fault.lasts = milliseconds(300, 4000);
-    fault.choice = random();
-    // A third of the faults come in a series, close together.
-    const int times = random() % 3 == 0 ? 3 : 1;
-    for (int count = 0; count < times; ++count) {
-      fault.lasts = std::min<common::Duration>(fault.lasts,
-                                               length - kQuietEnd - fault.at);
-      if (fault.lasts <= common::Duration::zero()) break;
+    fault.duration = milliseconds(300, 4000);
+    fault.target_selector = random();
+    // A third of the faults are repeated in quick succession.
+    const int repetitions = random() % 3 == 0 ? 3 : 1;
+    for (int count = 0; count < repetitions; ++count) {
+      fault.duration = std::min<common::Duration>(
+          fault.duration, length - kFaultFreeEnd - fault.at);
+      if (fault.duration <= common::Duration::zero()) break;
       faults.push_back(fault);
       fault.at += milliseconds(300, 1200);
-      fault.choice = random();
+      fault.target_selector = random();
     }
-    // Often before the former fault has ended.
+    // The next fault often starts before this one has ended.
     at += milliseconds(500, 3500);
   }
   return faults;
--- a/Source/Soak/fault_schedule.h
+++ b/Source/Soak/fault_schedule.h
@@ -9,7 +9,7 @@
 
 namespace camphorferry::soak {
 
-/// What is done to the system from outside.
+/// Faults and operator actions that a run injects.
 enum class FaultKind {
   kStopProxy,
   kKillProxy,
@@ -34,21 +34,21 @@
   kSettingsSignal
 };
 
-/// Short name for logs.
+/// Name of a fault for logs.
 const char* ToString(FaultKind kind);
 
-/// One fault of a run.
+/// One scheduled fault, with its start relative to the start of the run.
 struct Fault {
   FaultKind kind = FaultKind::kStopProxy;
   common::Duration at = common::Duration::zero();
-  common::Duration lasts = common::Duration::zero();
-  /// Picks the process or the service.
-  std::uint64_t choice = 0;
+  common::Duration duration = common::Duration::zero();
+  /// Random number that selects the affected process or service.
+  std::uint64_t target_selector = 0;
 };
 
-/// The faults of a run of the given length, which follow from the seed alone:
-/// single ones, series of one kind, and overlapping ones. The last seconds are
-/// left without faults.
+/// Generates the faults of a run of the given length: single, repeated and
+/// overlapping ones. The result depends only on the seed and the length. The
+/// last seconds of the run have no faults.
 std::vector<Fault> MakeSchedule(std::uint64_t seed, common::Duration length);
 
 }  // namespace camphorferry::soak
--- a/Source/Soak/guarantee_checker.h
+++ b/Source/Soak/guarantee_checker.h
@@ -14,10 +14,10 @@
 
 namespace camphorferry::soak {
 
-/// What a client was told about one statement.
-enum class ToldOutcome { kDone, kNotKept, kUnknown };
+/// Outcome of a statement as reported to its client.
+enum class ClientOutcome { kDone, kNotApplied, kUnknown };
 
-/// A statement as its client sent it.
+/// A statement that a client has sent.
 struct SentStatement {
   std::string id;
   std::string service;
@@ -26,75 +26,79 @@
   session::ReadGuarantee guarantee = session::ReadGuarantee::kLatest;
   common::Duration max_staleness = common::Duration::zero();
   bool commits = false;
-  /// Counts towards the workspace's rate.
+  /// True if the statement counts against the rate limit of the workspace.
   bool starts_operation = false;
   session::SessionValues values;
   common::SteadyTime sent;
-  /// A read must see what was acknowledged before this: the time of the
-  /// statement, or of the begin of its transaction.
+  /// A read must see all commits that were acknowledged before this time, which
+  /// is the send time of the statement or the start of its transaction.
   common::SteadyTime fresh_as_of;
-  /// The client's key was withdrawn longer ago than the bound of a change.
-  bool key_gone = false;
+  /// True if the client's key was withdrawn so long ago that every proxy must
+  /// reject it.
+  bool key_revoked = false;
 };
 
-/// A statement as a database ran it.
-struct StatementAtDatabase {
+/// A statement that a database has executed.
+struct ExecutedStatement {
   std::string id;
   std::string caller;
   std::map<std::string, std::string> values;
-  /// Identifiers of the commits that the database held.
-  const std::set<std::string>* held = nullptr;
+  /// Identifiers of the commits in the database's log at the time.
+  const std::set<std::string>* held_commits = nullptr;
 };
 
-/// Compares what clients were told with what databases ran. Takes the times as
-/// arguments and does no I/O. Broken promises are collected as text.
-class PromiseChecker {
+/// Checks the guarantees to clients: compares the outcomes that clients
+/// received with the statements that databases executed. Collects violations as
+/// text. Has no clock and no I/O; all times are arguments.
+class GuaranteeChecker {
  public:
-  /// Declares the rate of a workspace with its tolerance: operations that may
-  /// reach databases in one window.
+  /// Sets the number of operations of a workspace that may reach databases
+  /// within one window: its rate limit with the tolerance.
   void SetWindowLimit(const std::string& workspace, std::size_t operations);
 
   void OnSent(const SentStatement& statement);
-  void OnRun(const StatementAtDatabase& run, common::SteadyTime now);
-  void OnTold(const std::string& id, ToldOutcome outcome,
-              common::SteadyTime now);
-  /// A connection ended after the statement was sent and before its answer.
-  /// Beside planned stops alone that must not happen, unless the statement may
-  /// still have been on its way and has not run.
-  void OnCut(const std::string& id, bool planned_stop_only,
-             common::SteadyTime now);
+  void OnExecuted(const ExecutedStatement& run, common::SteadyTime now);
+  void OnOutcome(const std::string& id, ClientOutcome outcome,
+                 common::SteadyTime now);
+  /// Called when a connection ends between a statement and its response. If
+  /// planned operations were the only disturbance, this is a violation, unless
+  /// the statement may not have reached the proxy yet and has not been
+  /// executed.
+  void OnConnectionLost(const std::string& id, bool only_planned_operations,
+                        common::SteadyTime now);
 
-  /// Compares everything that was told with the log of a service's primary at
-  /// the end.
-  void Finish(const std::string& service,
-              const std::vector<std::string>& committed);
+  /// Compares all reported outcomes with the log of a service's primary at the
+  /// end of the run.
+  void CheckFinalLog(const std::string& service,
+                     const std::vector<std::string>& committed);
 
-  const std::vector<std::string>& Broken() const { return this->broken; }
+  const std::vector<std::string>& Violations() const {
+    return this->violations;
+  }
   std::size_t Acknowledged() const { return this->acknowledged; }
-  std::size_t Runs() const { return this->runs; }
+  std::size_t Executions() const { return this->executions; }
 
  private:
   struct AcknowledgedCommit {
     std::string id;
     std::string session;
-    common::SteadyTime told;
+    common::SteadyTime acknowledged_at;
   };
 
-  void Break(const std::string& promise, const std::string& detail);
-  void CheckFreshness(const SentStatement& sent,
-                      const StatementAtDatabase& run);
-  void CheckWindow(const SentStatement& sent, common::SteadyTime now);
+  void Report(const std::string& promise, const std::string& detail);
+  void CheckFreshness(const SentStatement& sent, const ExecutedStatement& run);
+  void CheckRateLimit(const SentStatement& sent, common::SteadyTime now);
 
   std::map<std::string, SentStatement> sent;
-  std::set<std::string> ran;
-  std::map<std::string, ToldOutcome> told;
-  /// By service, in the order in which clients were told.
+  std::set<std::string> executed;
+  std::map<std::string, ClientOutcome> outcomes;
+  /// By service, in the order of the acknowledgements.
   std::map<std::string, std::vector<AcknowledgedCommit>> commits;
   std::map<std::string, std::size_t> window_limits;
-  std::map<std::string, std::deque<common::SteadyTime>> windows;
-  std::vector<std::string> broken;
+  std::map<std::string, std::deque<common::SteadyTime>> recent_operations;
+  std::vector<std::string> violations;
   std::size_t acknowledged = 0;
-  std::size_t runs = 0;
+  std::size_t executions = 0;
 };
 
 }  // namespace camphorferry::soak
--- a/Source/Soak/main.cc
+++ b/Source/Soak/main.cc
@@ -7,8 +7,9 @@
 
 #include "soak_run.h"
 
-/// Randomized soak: runs real proxies under faults from outside, one seed after
-/// another, and prints a line a seed.
+/// Randomized soak test: runs real proxy processes under load, injects faults
+/// and checks the guarantees to clients. Executions one seed after another and
+/// prints one line for each.
 
 namespace {
 
@@ -17,7 +18,7 @@
 using camphorferry::soak::SoakSettings;
 
 constexpr int kExitOk = 0;
-constexpr int kExitBroken = 1;
+constexpr int kExitViolations = 1;
 constexpr int kExitUsage = 2;
 
 struct Options {
@@ -48,13 +49,13 @@
   const bool parsed =
       poptGetNextOpt(context) == -1 && poptPeekArg(context) == nullptr;
   poptFreeContext(context);
-  constexpr int kShortestRun = 15;
+  constexpr int kMinSeconds = 15;
   return parsed && options->program != nullptr && options->folder != nullptr &&
-         options->seeds > 0 && options->seconds >= kShortestRun &&
+         options->seeds > 0 && options->seconds >= kMinSeconds &&
          options->proxies > 0 && options->clients > 0;
 }
 
-/// Runs one seed; returns whether every promise held.
+/// Executions one seed. Returns true if no guarantee was violated.
 bool RunSeed(const Options& options, int seed) {
   SoakSettings settings;
   settings.program = options.program;
@@ -66,17 +67,18 @@
   settings.proxies = options.proxies;
   settings.clients = options.clients;
   const SoakResult result = SoakRun(settings).Run();
-  std::cout << "soak: seed=" << seed << " broken=" << result.broken.size()
+  std::cout << "soak: seed=" << seed << " broken=" << result.violations.size()
             << " acknowledged=" << result.acknowledged
-            << " runs=" << result.runs << "\n";
-  constexpr std::size_t kPrinted = 10;
-  for (std::size_t index = 0; index < std::min(result.broken.size(), kPrinted);
+            << " runs=" << result.executions << "\n";
+  constexpr std::size_t kMaxPrintedViolations = 10;
+  for (std::size_t index = 0;
+       index < std::min(result.violations.size(), kMaxPrintedViolations);
        ++index) {
-    std::cout << "  broken: " << result.broken[index] << "\n";
+    std::cout << "  broken: " << result.violations[index] << "\n";
   }
   std::cout.flush();
-  if (result.broken.empty()) std::filesystem::remove_all(settings.folder);
-  return result.broken.empty();
+  if (result.violations.empty()) std::filesystem::remove_all(settings.folder);
+  return result.violations.empty();
 }
 
 }  // namespace
@@ -96,5 +98,5 @@
     if (!RunSeed(options, seed)) ++failed;
   }
   std::cout << "soak: seeds=" << options.seeds << " failed=" << failed << "\n";
-  return failed == 0 ? kExitOk : kExitBroken;
+  return failed == 0 ? kExitOk : kExitViolations;
 }
--- a/Source/Soak/proxy_process.cc
+++ b/Source/Soak/proxy_process.cc
@@ -15,18 +15,18 @@
 
 namespace {
 
-/// Ports of a proxy on its own loopback address.
+/// Ports of a proxy. Each proxy has its own loopback address.
 constexpr std::uint16_t kClientPort = 7001;
 constexpr std::uint16_t kReadyPort = 7002;
 constexpr std::uint16_t kFirstPeerPort = 7003;
 
-/// What the fleet may exceed a rate by, as on the deployments.
+/// Tolerance by which the fleet may exceed a rate limit, as in the deployments.
 constexpr session::RateTolerance kRateTolerance{0.1, 20};
 
-/// A loopback address that no other process of this or another soak has. A
-/// proxy that is started again needs the same ports, and ports that the system
-/// chooses could be taken in between.
-std::string OwnAddress(int index) {
+/// Returns a loopback address that no other proxy of this or a concurrent soak
+/// run uses. A restarted proxy needs the same ports, and another process could
+/// take ports that the operating system assigned.
+std::string UniqueLoopbackAddress(int index) {
   const auto id = static_cast<unsigned>(getpid());
   constexpr unsigned kByte = 256;
   return "127." + std::to_string(1 + id / kByte % (kByte - 2)) + "." +
@@ -43,7 +43,7 @@
     : program(std::move(program)),
       settings_path(folder + "/proxy-" + std::to_string(index) + ".json"),
       log_path(folder + "/proxy-" + std::to_string(index) + ".log"),
-      ip(OwnAddress(index)) {
+      ip(UniqueLoopbackAddress(index)) {
   session::ProxySettings settings;
   settings.place.host = common::HostId("proxy-" + std::to_string(index));
   settings.place.domain = common::FailureDomainId("zone");
@@ -70,10 +70,10 @@
   if (this->pid == 0) {
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
-    // Sockets of the soak that stayed open here would hide their ends from the
-    // other side.
+    // If the child inherited sockets of the soak, their peers would not notice
+    // when the soak closes them.
     close_range(STDERR_FILENO + 1, ~0U, 0);
-    // A soak that is killed leaves no proxies behind.
+    // Ends the proxy if the soak process is killed.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     execl(this->program.c_str(), this->program.c_str(), "--settings",
           this->settings_path.c_str(), nullptr);
--- a/Source/Soak/proxy_process.h
+++ b/Source/Soak/proxy_process.h
@@ -10,16 +10,16 @@
 
 namespace camphorferry::soak {
 
-/// The process could not be started.
+/// Thrown if a process could not be started.
 class ProcessStartError : public common::Error {
  public:
   explicit ProcessStartError(const std::string& program);
 };
 
-/// One real proxy process. It is killed when this object is destroyed.
+/// A proxy process under test. The destructor kills the process.
 class ProxyProcess {
  public:
-  /// Settings and the process's log are written below the folder.
+  /// Writes the settings of the proxy to the folder, which also gets its log.
   ProxyProcess(std::string program, const std::string& folder, int index,
                const connection::SocketAddress& store);
   ~ProxyProcess();
@@ -29,13 +29,13 @@
   /// Starts the process; throws ProcessStartError.
   void Start();
 
-  /// Sends a signal to the process, if it runs.
+  /// Sends a signal to the process if it is running.
   void Signal(int number) const;
 
-  /// Whether the process still runs; a finished one is reaped.
+  /// Returns true if the process is running; reaps it if it has exited.
   bool Running();
 
-  /// Resident memory in bytes; none if the process does not run.
+  /// Resident memory in bytes; nullopt if the process is not running.
   std::optional<std::size_t> ResidentBytes() const;
 
   connection::SocketAddress ClientAddress() const;
@@ -44,7 +44,7 @@
   std::string program;
   std::string settings_path;
   std::string log_path;
-  /// The process's own loopback address.
+  /// Loopback address of this proxy only.
   std::string ip;
   pid_t pid = 0;
 };
--- a/Source/Soak/soak_client.h
+++ b/Source/Soak/soak_client.h
@@ -15,7 +15,8 @@
 
 namespace camphorferry::soak {
 
-/// A kind of route; each service has one of each, named SERVICE-NAME.
+/// A kind of route. Each service has one route of each kind, named
+/// SERVICE-NAME.
 struct SoakRoute {
   const char* name;
   session::ReadGuarantee guarantee;
@@ -27,80 +28,82 @@
     {"own", session::ReadGuarantee::kReadYourWrites},
 }};
 
-/// Age of the data that the routes with bounded staleness may read.
+/// Maximum staleness of reads on the routes with bounded staleness.
 inline constexpr std::chrono::milliseconds kMaxStaleness(1500);
 
-/// What clients know of the run.
-struct SoakWorld {
+/// State of the run that clients share.
+struct SoakContext {
   connection::EventLoop* loop = nullptr;
-  PromiseChecker* checker = nullptr;
+  GuaranteeChecker* checker = nullptr;
   std::vector<std::string> services;
   std::vector<std::unique_ptr<ProxyProcess>>* proxies = nullptr;
-  /// Whether planned stops are the only disturbance since then.
-  std::function<bool(common::SteadyTime since)> only_planned_stops;
-  /// Whether the key has been withdrawn for longer than the bound of a change.
-  std::function<bool(const std::string& key)> key_gone;
+  /// True if there was no other disturbance than planned operations since then.
+  std::function<bool(common::SteadyTime since)> only_planned_operations;
+  /// True if the key was withdrawn so long ago that every proxy must reject it.
+  std::function<bool(const std::string& key)> key_revoked;
 };
 
-/// One client with one session at a time: single statements, transactions, and
-/// session values, checked answer by answer. Reconnects to another proxy when
-/// the connection ends.
+/// Client that sends single statements, transactions and session values on one
+/// session at a time and reports each outcome to the checker. Reconnects to a
+/// random proxy when the connection ends.
 class SoakClient {
  public:
-  SoakClient(SoakWorld* world, int number, std::string workspace,
+  SoakClient(SoakContext* context, int number, std::string workspace,
              std::uint64_t seed);
 
-  /// Starts the next operation; to be called again and again.
+  /// Sends the next statement when it is due. To be called periodically.
   void Step();
 
-  /// Ends the session after the operation under way.
-  void Finish() { this->finishing = true; }
-  bool Idle() const { return !this->pending.has_value() && this->plan.empty(); }
+  /// Ends the session after the current operation.
+  void FinishOperation() { this->finishing = true; }
+  bool Idle() const {
+    return !this->pending.has_value() && this->remaining_statements.empty();
+  }
 
-  /// Operations that ended with success.
-  std::size_t Served() const { return this->served; }
-  /// When an operation last ended with success.
-  common::SteadyTime LastServed() const { return this->last_served; }
+  /// Number of operations that succeeded.
+  std::size_t Succeeded() const { return this->succeeded; }
+  /// Time at which an operation last succeeded.
+  common::SteadyTime LastSuccess() const { return this->last_success; }
 
  private:
   struct PendingStatement {
     SentStatement statement;
     std::string text;
-    bool told = false;
+    bool outcome_reported = false;
   };
 
   void Connect();
-  void PlanOperation();
-  void SendNext();
+  void ChooseOperation();
+  void SendNextStatement();
   void OnLine(std::string_view line);
-  void OnReady();
-  void OnEnded();
+  void OnResponseComplete();
+  void Disconnect();
   void Close();
 
-  SoakWorld* world;
+  SoakContext* context;
   int number;
   std::string workspace;
   std::mt19937_64 random;
   std::shared_ptr<session::MessageStream> stream;
-  bool open = false;
+  bool session_open = false;
   bool finishing = false;
   std::string service;
   session::ReadGuarantee guarantee = session::ReadGuarantee::kLatest;
   std::string session_name;
   std::uint64_t next_statement = 1;
   session::SessionValues values;
-  std::optional<std::pair<std::string, std::string>> value_under_way;
-  /// Texts of the present operation that are still to be sent.
-  std::vector<std::string> plan;
+  std::optional<std::pair<std::string, std::string>> pending_value;
+  /// Statements of the current operation that have not been sent yet.
+  std::vector<std::string> remaining_statements;
   bool in_transaction = false;
   bool transaction_started = false;
-  common::SteadyTime transaction_began;
+  common::SteadyTime transaction_started_at;
   std::vector<std::string> transaction_writes;
   std::optional<PendingStatement> pending;
   std::optional<std::string> error;
-  common::SteadyTime not_before;
-  std::size_t served = 0;
-  common::SteadyTime last_served;
+  common::SteadyTime next_step_at;
+  std::size_t succeeded = 0;
+  common::SteadyTime last_success;
 };
 
 }  // namespace camphorferry::soak
--- a/Source/Soak/soak_run.cc
+++ b/Source/Soak/soak_run.cc
@@ -10,36 +10,37 @@
 using common::LogLevel;
 using common::Subsystem;
 
-/// Interval at which clients take their next step.
-constexpr std::chrono::milliseconds kClientStep(5);
-/// Interval at which ended processes are started again.
-constexpr std::chrono::milliseconds kRestartCheck(150);
-/// Memory that a proxy may use for control and these few sessions.
-constexpr std::size_t kMemoryLimit = 64ULL * 1024 * 1024;
-/// Rate of each workspace; the clients ask for more now and then.
-constexpr int kRate = 150;
+/// Interval between the steps of the clients.
+constexpr std::chrono::milliseconds kClientStepInterval(5);
+/// Interval at which proxies that have exited are restarted.
+constexpr std::chrono::milliseconds kRestartInterval(150);
+/// Limit for the resident memory of a proxy with these few sessions, in bytes.
+constexpr std::size_t kMemoryLimitBytes = 64ULL * 1024 * 1024;
+/// Rate limit of each workspace in operations per second, which the clients
+/// sometimes exceed.
+constexpr int kRateLimit = 150;
 constexpr int kBurst = 150;
 /// Operations of a workspace that may reach databases within 5 s: the rate and
-/// the burst, a tenth and 20 more.
-constexpr std::size_t kWindowLimit = (kRate * 5 + kBurst) * 11 / 10 + 20;
-/// Connections that each database accepts.
-constexpr std::uint32_t kConnections = 16;
-/// Figures of the routes, as on the deployments.
+/// the burst, plus the tolerance of a tenth and of 20 operations.
+constexpr std::size_t kWindowLimit = (kRateLimit * 5 + kBurst) * 11 / 10 + 20;
+/// Connection limit of each database.
+constexpr std::uint32_t kConnectionLimit = 16;
+/// Parameters of the routes, as in the deployments.
 constexpr std::chrono::milliseconds kStatementTimeout(800);
 constexpr std::chrono::milliseconds kLatencyObjective(700);
 constexpr std::chrono::milliseconds kTransactionIdleLimit(2000);
-/// Bound of a change of the configuration, and the time after a disturbance
-/// from which on it holds.
-constexpr std::chrono::milliseconds kChangeBound(4000);
-constexpr std::chrono::milliseconds kSettling(5000);
-/// Time at the end in which each service must be served again.
-constexpr std::chrono::seconds kServedWithin(4);
-/// Longest time that clients may take to end their operations.
-constexpr std::chrono::seconds kFinishLimit(8);
+/// Time within which a configuration change takes effect on all proxies, and
+/// the time after a fault during which this doesn't apply.
+constexpr std::chrono::milliseconds kMaxChangeDelay(4000);
+constexpr std::chrono::milliseconds kRecoveryTime(5000);
+/// At the end of a run, each client must have had a success within this time.
+constexpr std::chrono::seconds kMaxTimeSinceSuccess(4);
+/// Time for clients to complete their current operations.
+constexpr std::chrono::seconds kFinishTimeout(8);
 
 const std::vector<std::string> kWorkspaces = {"first", "second"};
 
-bool IsPlanned(FaultKind kind) {
+bool IsPlannedOperation(FaultKind kind) {
   return kind == FaultKind::kStopProxy ||
          kind == FaultKind::kConfigurationChange ||
          kind == FaultKind::kKeyWithdrawn || kind == FaultKind::kSettingsSignal;
@@ -56,25 +57,25 @@
         return false;
       });
   for (int index = 0; index < this->settings.services; ++index) {
-    this->world.services.push_back("service" + std::to_string(index));
+    this->context.services.push_back("service" + std::to_string(index));
     this->groups.push_back(std::make_unique<DatabaseGroup>(
         &this->loop, this->store.get(), &this->checker,
-        this->world.services.back()));
+        this->context.services.back()));
     this->groups.back()->Register();
   }
   for (const std::string& workspace : kWorkspaces) {
     this->checker.SetWindowLimit(workspace, kWindowLimit);
   }
-  this->Configure();
+  this->PublishConfiguration();
 }
 
-void SoakRun::Configure() {
+void SoakRun::PublishConfiguration() {
   session::DirectoryConfiguration configuration;
   configuration.version = this->configuration_version++;
   configuration.transaction_idle_limit = kTransactionIdleLimit;
-  for (const std::string& name : this->world.services) {
+  for (const std::string& name : this->context.services) {
     const common::ServiceId service(name);
-    configuration.services[service].max_connections = kConnections;
+    configuration.services[service].max_connections = kConnectionLimit;
     session::DatabaseRoute route;
     route.service = service;
     route.max_staleness = kMaxStaleness;
@@ -87,7 +88,7 @@
   }
   for (const std::string& name : kWorkspaces) {
     const common::WorkspaceId workspace(name);
-    configuration.workspaces[workspace] = {kRate, kBurst};
+    configuration.workspaces[workspace] = {kRateLimit, kBurst};
     if (name == kWorkspaces.back() && this->key_withdrawn) continue;
     configuration.workspace_of_key["key-" + name] = workspace;
   }
@@ -96,52 +97,52 @@
 
 void SoakRun::StartProxies() {
   for (int index = 0; index < this->settings.proxies; ++index) {
-    this->store_links.push_back(
-        std::make_unique<LinkRelay>(&this->loop, this->store->Address()));
+    this->store_relays.push_back(
+        std::make_unique<TcpRelay>(&this->loop, this->store->Address()));
     this->proxies.push_back(std::make_unique<ProxyProcess>(
         this->settings.program, this->settings.folder, index,
-        this->store_links.back()->Address()));
+        this->store_relays.back()->Address()));
     this->proxies.back()->Start();
   }
 }
 
 void SoakRun::StartClients() {
-  this->world.loop = &this->loop;
-  this->world.checker = &this->checker;
-  this->world.proxies = &this->proxies;
-  this->world.only_planned_stops = [this](common::SteadyTime since) {
-    return this->OnlyPlannedStops(since);
+  this->context.loop = &this->loop;
+  this->context.checker = &this->checker;
+  this->context.proxies = &this->proxies;
+  this->context.only_planned_operations = [this](common::SteadyTime since) {
+    return this->OnlyPlannedOperations(since);
   };
-  this->world.key_gone = [this](const std::string& key) {
+  this->context.key_revoked = [this](const std::string& key) {
     return this->key_withdrawn && key == "key-" + kWorkspaces.back() &&
-           this->OnlyPlannedStops(this->key_changed - kSettling) &&
-           common::SteadyNow() - this->key_changed > kChangeBound;
+           this->OnlyPlannedOperations(this->key_changed_at - kRecoveryTime) &&
+           common::SteadyNow() - this->key_changed_at > kMaxChangeDelay;
   };
   for (int number = 0; number < this->settings.clients; ++number) {
     this->clients.push_back(std::make_unique<SoakClient>(
-        &this->world, number,
+        &this->context, number,
         kWorkspaces[static_cast<std::size_t>(number) % kWorkspaces.size()],
         this->settings.seed * 1000 + static_cast<std::uint64_t>(number)));
   }
 }
 
-bool SoakRun::OnlyPlannedStops(common::SteadyTime since) const {
-  return this->unplanned_open == 0 && this->unplanned_until < since;
+bool SoakRun::OnlyPlannedOperations(common::SteadyTime since) const {
+  return this->active_faults == 0 && this->last_fault_ended_at < since;
 }
 
 DatabaseGroup* SoakRun::GroupOf(const Fault& fault) {
-  return this->groups[fault.choice % this->groups.size()].get();
+  return this->groups[fault.target_selector % this->groups.size()].get();
 }
 
 void SoakRun::SignalProxy(const Fault& fault, int number) {
-  this->proxies[fault.choice % this->proxies.size()]->Signal(number);
+  this->proxies[fault.target_selector % this->proxies.size()]->Signal(number);
 }
 
-void SoakRun::Begin(const Fault& fault) {
+void SoakRun::InjectFault(const Fault& fault) {
   common::Log(Subsystem::kProcess, LogLevel::kInfo, "fault_begins",
               {{"kind", ToString(fault.kind)},
-               {"lasts_ms", common::ToMilliseconds(fault.lasts).count()}});
-  if (!IsPlanned(fault.kind)) ++this->unplanned_open;
+               {"lasts_ms", common::ToMilliseconds(fault.duration).count()}});
+  if (!IsPlannedOperation(fault.kind)) ++this->active_faults;
   DatabaseGroup* group = this->GroupOf(fault);
   switch (fault.kind) {
     case FaultKind::kStopProxy:
@@ -163,22 +164,22 @@
       group->ResetConnections();
       break;
     case FaultKind::kDatabaseLinksSilent:
-      group->SetLinks(LinkState::kSilent);
+      group->SetLinkState(LinkState::kSilent);
       break;
     case FaultKind::kDatabaseLinksCutForward:
-      group->SetLinks(LinkState::kCutForward);
+      group->SetLinkState(LinkState::kCutForward);
       break;
     case FaultKind::kDatabaseLinksCutBackward:
-      group->SetLinks(LinkState::kCutBackward);
+      group->SetLinkState(LinkState::kCutBackward);
       break;
     case FaultKind::kDatabaseLinksDelayed:
-      group->SetLinks(LinkState::kDelayed);
+      group->SetLinkState(LinkState::kDelayed);
       break;
     case FaultKind::kReplicasLag:
       group->SetReplicasLag(true);
       break;
     case FaultKind::kDatabaseAnswersLost:
-      group->SetLoseAnswers(true);
+      group->SetLoseResponses(true);
       break;
     case FaultKind::kStoreBusy:
       this->store->SetState(platform::StoreState::kBusy);
@@ -196,16 +197,16 @@
       this->store->DropHistory();
       break;
     case FaultKind::kProxyCutFromStore:
-      this->store_links[fault.choice % this->store_links.size()]->SetState(
-          LinkState::kSilent);
+      this->store_relays[fault.target_selector % this->store_relays.size()]
+          ->SetState(LinkState::kSilent);
       break;
     case FaultKind::kConfigurationChange:
-      this->Configure();
+      this->PublishConfiguration();
       break;
     case FaultKind::kKeyWithdrawn:
       this->key_withdrawn = !this->key_withdrawn;
-      this->key_changed = common::SteadyNow();
-      this->Configure();
+      this->key_changed_at = common::SteadyNow();
+      this->PublishConfiguration();
       break;
     case FaultKind::kSettingsSignal:
       this->SignalProxy(fault, SIGHUP);
@@ -213,7 +214,7 @@
   }
 }
 
-void SoakRun::End(const Fault& fault) {
+void SoakRun::RevertFault(const Fault& fault) {
   DatabaseGroup* group = this->GroupOf(fault);
   switch (fault.kind) {
     case FaultKind::kFreezeProxy:
@@ -226,13 +227,13 @@
     case FaultKind::kDatabaseLinksCutForward:
     case FaultKind::kDatabaseLinksCutBackward:
     case FaultKind::kDatabaseLinksDelayed:
-      group->SetLinks(LinkState::kOpen);
+      group->SetLinkState(LinkState::kOpen);
       break;
     case FaultKind::kReplicasLag:
       group->SetReplicasLag(false);
       break;
     case FaultKind::kDatabaseAnswersLost:
-      group->SetLoseAnswers(false);
+      group->SetLoseResponses(false);
       break;
     case FaultKind::kStoreBusy:
     case FaultKind::kStoreSilent:
@@ -241,18 +242,18 @@
       this->store->SetState(platform::StoreState::kUp);
       break;
     case FaultKind::kProxyCutFromStore:
-      this->store_links[fault.choice % this->store_links.size()]->SetState(
-          LinkState::kOpen);
+      this->store_relays[fault.target_selector % this->store_relays.size()]
+          ->SetState(LinkState::kOpen);
       break;
     default:
       break;
   }
-  if (IsPlanned(fault.kind)) return;
-  --this->unplanned_open;
-  this->unplanned_until = common::SteadyNow();
+  if (IsPlannedOperation(fault.kind)) return;
+  --this->active_faults;
+  this->last_fault_ended_at = common::SteadyNow();
 }
 
-void SoakRun::KeepRunning() {
+void SoakRun::RestartExitedProxies() {
   for (const auto& proxy : this->proxies) {
     if (!proxy->Running()) proxy->Start();
   }
@@ -261,27 +262,27 @@
 void SoakRun::CheckResources() {
   for (const auto& proxy : this->proxies) {
     const auto bytes = proxy->ResidentBytes();
-    if (bytes.has_value() && *bytes > kMemoryLimit) {
-      this->broken.push_back("memory bytes=" + std::to_string(*bytes));
+    if (bytes.has_value() && *bytes > kMemoryLimitBytes) {
+      this->violations.push_back("memory bytes=" + std::to_string(*bytes));
     }
   }
 }
 
-void SoakRun::CheckServiceAtTheEnd() {
+void SoakRun::CheckFinalState() {
   const common::SteadyTime now = common::SteadyNow();
   for (std::size_t index = 0; index < this->clients.size(); ++index) {
     const bool withdrawn =
         this->key_withdrawn && index % kWorkspaces.size() != 0;
-    const common::Duration since = now - this->clients[index]->LastServed();
-    if (withdrawn || since < kServedWithin) continue;
-    this->broken.push_back("not_served client=" + std::to_string(index));
+    const common::Duration since = now - this->clients[index]->LastSuccess();
+    if (withdrawn || since < kMaxTimeSinceSuccess) continue;
+    this->violations.push_back("not_served client=" + std::to_string(index));
   }
   for (std::size_t index = 1; index < this->store->PromotionTokens().size();
        ++index) {
     const auto& tokens = this->store->PromotionTokens();
     if (tokens[index] < tokens[index - 1]) {
-      this->broken.push_back("token_falls token=" +
-                             std::to_string(tokens[index]));
+      this->violations.push_back("token_falls token=" +
+                                 std::to_string(tokens[index]));
     }
   }
 }
@@ -291,31 +292,31 @@
   this->StartClients();
   for (const Fault& fault :
        MakeSchedule(this->settings.seed, this->settings.length)) {
-    this->loop.RunLater(fault.at, [this, fault] { this->Begin(fault); });
-    this->loop.RunLater(fault.at + fault.lasts,
-                        [this, fault] { this->End(fault); });
+    this->loop.RunLater(fault.at, [this, fault] { this->InjectFault(fault); });
+    this->loop.RunLater(fault.at + fault.duration,
+                        [this, fault] { this->RevertFault(fault); });
   }
-  const auto steps = this->loop.Every(kClientStep, [this] {
+  const auto steps = this->loop.Every(kClientStepInterval, [this] {
     for (const auto& client : this->clients) client->Step();
   });
-  const auto restarts =
-      this->loop.Every(kRestartCheck, [this] { this->KeepRunning(); });
+  const auto restarts = this->loop.Every(
+      kRestartInterval, [this] { this->RestartExitedProxies(); });
   this->loop.RunLater(this->settings.length, [this] {
     this->CheckResources();
-    this->CheckServiceAtTheEnd();
-    for (const auto& client : this->clients) client->Finish();
-    this->loop.RunLater(kFinishLimit, [this] { this->loop.Stop(); });
+    this->CheckFinalState();
+    for (const auto& client : this->clients) client->FinishOperation();
+    this->loop.RunLater(kFinishTimeout, [this] { this->loop.Stop(); });
   });
   this->loop.Run();
   for (const auto& group : this->groups) {
-    this->checker.Finish(group->Service(), group->Committed());
+    this->checker.CheckFinalLog(group->Service(), group->CommittedIds());
   }
   SoakResult result;
-  result.broken = this->checker.Broken();
-  result.broken.insert(result.broken.end(), this->broken.begin(),
-                       this->broken.end());
+  result.violations = this->checker.Violations();
+  result.violations.insert(result.violations.end(), this->violations.begin(),
+                           this->violations.end());
   result.acknowledged = this->checker.Acknowledged();
-  result.runs = this->checker.Runs();
+  result.executions = this->checker.Executions();
   this->clients.clear();
   this->proxies.clear();
   return result;
--- a/Source/Soak/soak_run.h
+++ b/Source/Soak/soak_run.h
@@ -14,10 +14,10 @@
 
 namespace camphorferry::soak {
 
-/// What a run needs.
+/// Settings of a run.
 struct SoakSettings {
   std::string program;
-  /// Settings and logs of the processes are written here.
+  /// Folder for the settings and logs of the processes.
   std::string folder;
   std::uint64_t seed = 1;
   common::Duration length = std::chrono::seconds(25);
@@ -28,49 +28,50 @@
 
 /// Result of a run.
 struct SoakResult {
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   std::size_t acknowledged = 0;
-  std::size_t runs = 0;
+  std::size_t executions = 0;
 };
 
-/// One run: starts real proxies before stand-ins for store and databases, lets
-/// clients work, carries out the faults of the seed, and checks all promises.
+/// One run: starts proxy processes with a simulated store and simulated
+/// databases, generates load, injects the faults of the seed and checks all
+/// guarantees.
 class SoakRun {
  public:
   explicit SoakRun(SoakSettings settings);
 
-  /// Runs to the end and returns what was found.
+  /// Executes the run and returns the result.
   SoakResult Run();
 
  private:
-  void Configure();
+  void PublishConfiguration();
   void StartProxies();
   void StartClients();
-  void Begin(const Fault& fault);
-  void End(const Fault& fault);
+  void InjectFault(const Fault& fault);
+  void RevertFault(const Fault& fault);
   void SignalProxy(const Fault& fault, int number);
-  void KeepRunning();
+  void RestartExitedProxies();
   void CheckResources();
-  void CheckServiceAtTheEnd();
-  bool OnlyPlannedStops(common::SteadyTime since) const;
+  void CheckFinalState();
+  bool OnlyPlannedOperations(common::SteadyTime since) const;
   DatabaseGroup* GroupOf(const Fault& fault);
 
   SoakSettings settings;
   connection::EventLoop loop;
-  PromiseChecker checker;
+  GuaranteeChecker checker;
   std::unique_ptr<platform::FakeStore> store;
   std::vector<std::unique_ptr<DatabaseGroup>> groups;
-  std::vector<std::unique_ptr<LinkRelay>> store_links;
+  std::vector<std::unique_ptr<TcpRelay>> store_relays;
   std::vector<std::unique_ptr<ProxyProcess>> proxies;
   std::vector<std::unique_ptr<SoakClient>> clients;
-  SoakWorld world;
-  std::vector<std::string> broken;
+  SoakContext context;
+  std::vector<std::string> violations;
   std::uint64_t configuration_version = 1;
-  /// The key of the second workspace is withdrawn for part of a run.
+  /// True while the key of the second workspace is withdrawn.
   bool key_withdrawn = false;
-  common::SteadyTime key_changed;
-  int unplanned_open = 0;
-  common::SteadyTime unplanned_until;
+  common::SteadyTime key_changed_at;
+  int active_faults = 0;
+  common::SteadyTime last_fault_ended_at;
 };
 
 }  // namespace camphorferry::soak
--- a/Source/Soak/tcp_relay.cc
+++ b/Source/Soak/tcp_relay.cc
@@ -14,33 +14,36 @@
 namespace {
 
 constexpr int kBacklog = 256;
-/// Delay of a delayed link; a slow path between two regions.
-constexpr std::chrono::milliseconds kDelay(120);
+/// One-way delay of a delayed link, like that of a slow path between two
+/// regions.
+constexpr std::chrono::milliseconds kLinkDelay(120);
 
-/// Databases drop a connection whose far end is dark after this time.
-constexpr std::chrono::milliseconds kDarkDropped(3000);
+/// Time after which the relay closes a connection whose end could not cross a
+/// cut link, as databases do with unresponsive peers.
+constexpr std::chrono::milliseconds kUnresponsivePeerTimeout(3000);
 
 }  // namespace
 
 /// One relayed connection.
-struct LinkRelay::Pair {
-  LinkRelay* relay = nullptr;
-  bufferevent* caller = nullptr;
+struct TcpRelay::RelayedConnection {
+  TcpRelay* relay = nullptr;
+  bufferevent* client = nullptr;
   bufferevent* target = nullptr;
-  /// Bytes were lost in a direction, so nothing may follow them.
-  bool mute_forward = false;
-  bool mute_backward = false;
+  /// True once bytes have been dropped in this direction: all later bytes must
+  /// be dropped too, or the stream would be corrupt.
+  bool dropping_forward = false;
+  bool dropping_backward = false;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-  ~Pair() {
+  ~RelayedConnection() {
     *this->alive = false;
-    if (this->caller != nullptr) bufferevent_free(this->caller);
+    if (this->client != nullptr) bufferevent_free(this->client);
     if (this->target != nullptr) bufferevent_free(this->target);
   }
 };
 
-LinkRelay::LinkRelay(connection::EventLoop* loop,
-                     connection::SocketAddress target)
+TcpRelay::TcpRelay(connection::EventLoop* loop,
+                   connection::SocketAddress target)
     : loop(loop), target(std::move(target)) {
   sockaddr_in address = connection::ToSystemAddress({"127.0.0.1", 0});
   this->listener = evconnlistener_new_bind(
@@ -52,47 +55,47 @@
   this->port = connection::LocalPort(evconnlistener_get_fd(this->listener));
 }
 
-LinkRelay::~LinkRelay() {
+TcpRelay::~TcpRelay() {
   *this->alive = false;
-  this->pairs.clear();
+  this->relayed_connections.clear();
   evconnlistener_free(this->listener);
 }
 
-connection::SocketAddress LinkRelay::Address() const {
+connection::SocketAddress TcpRelay::Address() const {
   return {"127.0.0.1", this->port};
 }
 
-void LinkRelay::SetState(LinkState changed) {
+void TcpRelay::SetState(LinkState changed) {
   this->state = changed;
   if (changed == LinkState::kDown) this->ResetAll();
 }
 
-void LinkRelay::ResetAll() {
-  for (const auto& [raw, pair] : this->pairs) {
+void TcpRelay::ResetAll() {
+  for (const auto& [raw, relayed] : this->relayed_connections) {
     const linger reset{1, 0};
-    setsockopt(bufferevent_getfd(pair->caller), SOL_SOCKET, SO_LINGER, &reset,
-               sizeof(reset));
+    setsockopt(bufferevent_getfd(relayed->client), SOL_SOCKET, SO_LINGER,
+               &reset, sizeof(reset));
   }
-  this->pairs.clear();
+  this->relayed_connections.clear();
 }
 
-void LinkRelay::OnAccept(evconnlistener* /*listener*/, int socket,
-                         sockaddr* /*address*/, int /*length*/, void* context) {
-  auto* relay = static_cast<LinkRelay*>(context);
+void TcpRelay::OnAccept(evconnlistener* /*listener*/, int socket,
+                        sockaddr* /*address*/, int /*length*/, void* context) {
+  auto* relay = static_cast<TcpRelay*>(context);
   if (relay->state == LinkState::kDown) {
     evutil_closesocket(socket);
     return;
   }
-  auto pair = std::make_unique<Pair>();
-  Pair* raw = pair.get();
+  auto relayed = std::make_unique<RelayedConnection>();
+  RelayedConnection* raw = relayed.get();
   raw->relay = relay;
-  raw->caller = bufferevent_socket_new(relay->loop->Base(), socket,
+  raw->client = bufferevent_socket_new(relay->loop->Base(), socket,
                                        BEV_OPT_CLOSE_ON_FREE);
   raw->target =
       bufferevent_socket_new(relay->loop->Base(), -1, BEV_OPT_CLOSE_ON_FREE);
   sockaddr_in address = connection::ToSystemAddress(relay->target);
-  relay->pairs[raw] = std::move(pair);
-  for (bufferevent* end : {raw->caller, raw->target}) {
+  relay->relayed_connections[raw] = std::move(relayed);
+  for (bufferevent* end : {raw->client, raw->target}) {
     bufferevent_setcb(end, OnReadable, nullptr, OnEvent, raw);
     bufferevent_enable(end, EV_READ | EV_WRITE);
   }
@@ -100,71 +103,77 @@
                              sizeof(address));
 }
 
-void LinkRelay::OnReadable(bufferevent* from, void* context) {
-  auto* pair = static_cast<Pair*>(context);
-  pair->relay->Pass(pair, from == pair->caller);
+void TcpRelay::OnReadable(bufferevent* from, void* context) {
+  auto* relayed = static_cast<RelayedConnection*>(context);
+  relayed->relay->Forward(relayed, from == relayed->client);
 }
 
-void LinkRelay::Pass(Pair* pair, bool forward) {
+void TcpRelay::Forward(RelayedConnection* relayed, bool forward) {
   const bool cut = this->state == LinkState::kSilent ||
                    this->state == (forward ? LinkState::kCutForward
                                            : LinkState::kCutBackward);
-  bool& mute = forward ? pair->mute_forward : pair->mute_backward;
-  mute = mute || cut;
-  bufferevent* from = forward ? pair->caller : pair->target;
+  bool& dropping =
+      forward ? relayed->dropping_forward : relayed->dropping_backward;
+  dropping = dropping || cut;
+  bufferevent* from = forward ? relayed->client : relayed->target;
   evbuffer* input = bufferevent_get_input(from);
-  if (mute) {
+  if (dropping) {
     evbuffer_drain(input, evbuffer_get_length(input));
     return;
   }
   if (this->state != LinkState::kDelayed) {
-    bufferevent_write_buffer(forward ? pair->target : pair->caller, input);
+    bufferevent_write_buffer(forward ? relayed->target : relayed->client,
+                             input);
     return;
   }
   std::string bytes(evbuffer_get_length(input), '\0');
   evbuffer_remove(input, bytes.data(), bytes.size());
   this->loop->RunLater(
-      kDelay, [pair, pair_alive = pair->alive, forward, bytes] {
-        if (!*pair_alive) return;
-        bufferevent_write(forward ? pair->target : pair->caller, bytes.data(),
-                          bytes.size());
+      kLinkDelay, [relayed, relayed_alive = relayed->alive, forward, bytes] {
+        if (!*relayed_alive) return;
+        bufferevent_write(forward ? relayed->target : relayed->client,
+                          bytes.data(), bytes.size());
       });
 }
 
-void LinkRelay::OnEvent(bufferevent* from, short what, void* context) {
+void TcpRelay::OnEvent(bufferevent* from, short what, void* context) {
   if ((what & BEV_EVENT_CONNECTED) != 0) return;
-  auto* pair = static_cast<Pair*>(context);
-  LinkRelay* relay = pair->relay;
-  // What arrived before the end is passed on first.
-  relay->Pass(pair, from == pair->caller);
-  const bool unnoticed =
-      from == pair->caller ? pair->mute_forward : pair->mute_backward;
-  if (unnoticed) {
-    // The end of a connection does not cross a cut link; the other side drops
-    // it after a while.
-    relay->loop->RunLater(kDarkDropped,
-                          [relay, pair, pair_alive = pair->alive] {
-                            if (*pair_alive) relay->Drop(pair);
+  auto* relayed = static_cast<RelayedConnection*>(context);
+  TcpRelay* relay = relayed->relay;
+  // Forwards the bytes that arrived before the end of the connection.
+  relay->Forward(relayed, from == relayed->client);
+  const bool end_is_dropped = from == relayed->client
+                                  ? relayed->dropping_forward
+                                  : relayed->dropping_backward;
+  if (end_is_dropped) {
+    // The end of a connection doesn't cross a cut link. The other side notices
+    // only by its timeout.
+    relay->loop->RunLater(kUnresponsivePeerTimeout,
+                          [relay, relayed, relayed_alive = relayed->alive] {
+                            if (*relayed_alive) relay->Close(relayed);
                           });
     return;
   }
-  bufferevent* other = from == pair->caller ? pair->target : pair->caller;
+  bufferevent* other =
+      from == relayed->client ? relayed->target : relayed->client;
   if (evbuffer_get_length(bufferevent_get_output(other)) == 0) {
-    relay->Drop(pair);
+    relay->Close(relayed);
     return;
   }
-  constexpr std::chrono::milliseconds kFlush(50);
-  relay->loop->RunLater(kFlush, [relay, pair, pair_alive = pair->alive] {
-    if (*pair_alive) relay->Drop(pair);
-  });
+  constexpr std::chrono::milliseconds kFlushDelay(50);
+  relay->loop->RunLater(kFlushDelay,
+                        [relay, relayed, relayed_alive = relayed->alive] {
+                          if (*relayed_alive) relay->Close(relayed);
+                        });
 }
 
-void LinkRelay::Drop(Pair* pair) {
-  const auto found = this->pairs.find(pair);
-  if (found == this->pairs.end()) return;
-  // Libevent may still be inside a callback of the pair.
-  this->loop->Post([keep = std::shared_ptr<Pair>(std::move(found->second))] {});
-  this->pairs.erase(found);
+void TcpRelay::Close(RelayedConnection* relayed) {
+  const auto found = this->relayed_connections.find(relayed);
+  if (found == this->relayed_connections.end()) return;
+  // Deferred, because libevent may still execute a callback of this connection.
+  this->loop->Post([deferred = std::shared_ptr<RelayedConnection>(
+                        std::move(found->second))] {});
+  this->relayed_connections.erase(found);
 }
 
 }  // namespace camphorferry::soak
--- a/Source/Soak/tcp_relay.h
+++ b/Source/Soak/tcp_relay.h
@@ -12,57 +12,60 @@
 
 namespace camphorferry::soak {
 
-/// How a relay treats connections.
+/// Network condition that a relay simulates.
 enum class LinkState {
   kOpen,
-  /// Bytes of both directions are held up for a while.
+  /// Bytes are delayed in both directions.
   kDelayed,
-  /// Bytes towards the target vanish.
+  /// Bytes to the target are dropped.
   kCutForward,
-  /// Bytes from the target vanish.
+  /// Bytes from the target are dropped.
   kCutBackward,
-  /// Bytes of both directions vanish, new connections are taken and stay mute.
+  /// Bytes are dropped in both directions. New connections are accepted but get
+  /// no response.
   kSilent,
-  /// Connections are reset and new ones are refused at once.
+  /// Connections are reset; new ones are closed immediately.
   kDown
 };
 
-/// Loopback proxy between a process and one of its peers that harms the
-/// connections from outside.
-class LinkRelay {
+/// TCP relay on a loopback address between a process and one of its peers. It
+/// injects network faults into the relayed connections.
+class TcpRelay {
  public:
-  /// Listens on a loopback port of the system's choice.
-  LinkRelay(connection::EventLoop* loop, connection::SocketAddress target);
-  ~LinkRelay();
-  LinkRelay(const LinkRelay&) = delete;
-  LinkRelay& operator=(const LinkRelay&) = delete;
+  /// Listens on a loopback port that the operating system assigns. Throws
+  /// connection::ListenError.
+  TcpRelay(connection::EventLoop* loop, connection::SocketAddress target);
+  ~TcpRelay();
+  TcpRelay(const TcpRelay&) = delete;
+  TcpRelay& operator=(const TcpRelay&) = delete;
 
-  /// Where the process under test connects to.
+  /// Address to which the process under test connects.
   connection::SocketAddress Address() const;
 
-  /// Changes how open and new connections are treated. Connections that lost
-  /// bytes stay mute when the link is open again.
+  /// Sets the network condition for open and new connections. Connections that
+  /// have lost bytes keep dropping them after the link is open again.
   void SetState(LinkState changed);
 
   /// Resets every open connection.
   void ResetAll();
 
  private:
-  struct Pair;
+  struct RelayedConnection;
 
   static void OnAccept(evconnlistener* listener, int socket, sockaddr* address,
                        int length, void* context);
   static void OnReadable(bufferevent* from, void* context);
   static void OnEvent(bufferevent* from, short what, void* context);
-  void Pass(Pair* pair, bool forward);
-  void Drop(Pair* pair);
+  void Forward(RelayedConnection* relayed, bool forward);
+  void Close(RelayedConnection* relayed);
 
   connection::EventLoop* loop;
   connection::SocketAddress target;
   evconnlistener* listener = nullptr;
   std::uint16_t port = 0;
   LinkState state = LinkState::kOpen;
-  std::map<Pair*, std::unique_ptr<Pair>> pairs;
+  std::map<RelayedConnection*, std::unique_ptr<RelayedConnection>>
+      relayed_connections;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Source/UnitTests/Soak/guarantee_checker_test.cc
+++ b/Source/UnitTests/Soak/guarantee_checker_test.cc
@@ -12,9 +12,9 @@
 
 constexpr common::SteadyTime kStart{std::chrono::hours(1)};
 
-/// Each test takes one promise away; a checker that overlooks it would let the
-/// soak pass for nothing.
-class PromiseCheckerTest : public testing::Test {
+/// Each test violates one guarantee. Guards against a checker that misses a
+/// violation, with which the soak would pass without checking anything.
+class GuaranteeCheckerTest : public testing::Test {
  protected:
   SentStatement Send(const std::string& id, milliseconds at,
                      bool commits = false) {
@@ -34,153 +34,157 @@
   }
 
   void Run(const std::string& id, milliseconds at,
-           const std::set<std::string>& held = {},
+           const std::set<std::string>& held_commits = {},
            const std::string& caller = "w",
            const std::map<std::string, std::string>& values = {}) {
-    this->checker.OnRun({id, caller, values, &held}, kStart + at);
+    this->checker.OnExecuted({id, caller, values, &held_commits}, kStart + at);
   }
 
   void Commit(const std::string& id, milliseconds at) {
     this->Send(id, at, true);
     this->Run(id, at);
-    this->checker.OnTold(id, ToldOutcome::kDone, kStart + at + milliseconds(1));
+    this->checker.OnOutcome(id, ClientOutcome::kDone,
+                            kStart + at + milliseconds(1));
   }
 
-  bool Broke(const std::string& promise) const {
-    for (const std::string& text : this->checker.Broken()) {
-      if (text.starts_with(promise)) return true;
+  bool HasViolation(const std::string& violation) const {
+    for (const std::string& text : this->checker.Violations()) {
+      if (text.starts_with(violation)) return true;
     }
     return false;
   }
 
   session::ReadGuarantee guarantee = session::ReadGuarantee::kLatest;
-  PromiseChecker checker;
+  GuaranteeChecker checker;
 };
 
-TEST_F(PromiseCheckerTest, AllPromisesKept_Finish_FindsNothing) {
+TEST_F(GuaranteeCheckerTest, CheckFinalLog_NoViolation_FindsNothing) {
   this->Commit("a", milliseconds(0));
   this->Send("r", milliseconds(10));
   this->Run("r", milliseconds(11), {"a"});
-  this->checker.Finish("s", {"a"});
-  EXPECT_TRUE(this->checker.Broken().empty());
+  this->checker.CheckFinalLog("s", {"a"});
+  EXPECT_TRUE(this->checker.Violations().empty());
 }
 
-TEST_F(PromiseCheckerTest, AcknowledgedCommitMissing_Finish_IsLost) {
+TEST_F(GuaranteeCheckerTest, CheckFinalLog_AcknowledgedCommitMissing_IsLost) {
   this->Commit("a", milliseconds(0));
-  this->checker.Finish("s", {});
-  EXPECT_TRUE(this->Broke("lost"));
+  this->checker.CheckFinalLog("s", {});
+  EXPECT_TRUE(this->HasViolation("lost"));
 }
 
-TEST_F(PromiseCheckerTest, CommitTwiceInTheLog_Finish_IsDoubled) {
+TEST_F(GuaranteeCheckerTest, CheckFinalLog_CommitTwiceInTheLog_IsDoubled) {
   this->Commit("a", milliseconds(0));
-  this->checker.Finish("s", {"a", "a"});
-  EXPECT_TRUE(this->Broke("doubled"));
+  this->checker.CheckFinalLog("s", {"a", "a"});
+  EXPECT_TRUE(this->HasViolation("doubled"));
 }
 
-TEST_F(PromiseCheckerTest, RefusedWriteInTheLog_Finish_IsKept) {
+TEST_F(GuaranteeCheckerTest, CheckFinalLog_RejectedWriteInTheLog_IsViolation) {
   this->Send("a", milliseconds(0), true);
-  this->checker.OnTold("a", ToldOutcome::kNotKept, kStart);
-  this->checker.Finish("s", {"a"});
-  EXPECT_TRUE(this->Broke("kept_though_refused"));
+  this->checker.OnOutcome("a", ClientOutcome::kNotApplied, kStart);
+  this->checker.CheckFinalLog("s", {"a"});
+  EXPECT_TRUE(this->HasViolation("kept_though_refused"));
 }
 
-TEST_F(PromiseCheckerTest, LatestReadLacksACommit_Run_IsStale) {
+TEST_F(GuaranteeCheckerTest, OnExecuted_LatestReadWithoutACommit_IsStale) {
   this->Commit("a", milliseconds(0));
   this->Send("r", milliseconds(10));
   this->Run("r", milliseconds(11));
-  EXPECT_TRUE(this->Broke("stale_read"));
+  EXPECT_TRUE(this->HasViolation("stale_read"));
 }
 
-TEST_F(PromiseCheckerTest, BoundedReadLacksCommits_Run_CountsOnlyOldOnes) {
+TEST_F(GuaranteeCheckerTest,
+       OnExecuted_BoundedReadWithoutCommits_IsStaleForOldOnes) {
   this->guarantee = session::ReadGuarantee::kBoundedStaleness;
   this->Commit("a", milliseconds(0));
   this->Send("r", milliseconds(1000));
   this->Run("r", milliseconds(1001));
-  EXPECT_TRUE(this->checker.Broken().empty());
+  EXPECT_TRUE(this->checker.Violations().empty());
   this->Send("q", milliseconds(2000));
   this->Run("q", milliseconds(2001));
-  EXPECT_TRUE(this->Broke("stale_read"));
+  EXPECT_TRUE(this->HasViolation("stale_read"));
 }
 
-TEST_F(PromiseCheckerTest, OwnCommitNotSeen_Run_IsStale) {
+TEST_F(GuaranteeCheckerTest, OnExecuted_OwnCommitNotSeen_IsStale) {
   this->guarantee = session::ReadGuarantee::kReadYourWrites;
   this->Commit("a", milliseconds(0));
   this->Send("r", milliseconds(10));
   this->Run("r", milliseconds(11));
-  EXPECT_TRUE(this->Broke("stale_read"));
+  EXPECT_TRUE(this->HasViolation("stale_read"));
 }
 
-TEST_F(PromiseCheckerTest, StatementNobodySent_Run_IsUnasked) {
+TEST_F(GuaranteeCheckerTest, OnExecuted_StatementNeverSent_IsUnasked) {
   this->Run("x", milliseconds(0));
-  EXPECT_TRUE(this->Broke("unasked"));
+  EXPECT_TRUE(this->HasViolation("unasked"));
 }
 
-TEST_F(PromiseCheckerTest, OtherCallerOrValues_Run_AreNoticed) {
+TEST_F(GuaranteeCheckerTest, OnExecuted_OtherCallerOrValues_AreViolations) {
   this->Send("a", milliseconds(0));
   this->Run("a", milliseconds(1), {}, "other", {{"mode", "m"}});
-  EXPECT_TRUE(this->Broke("wrong_workspace"));
-  EXPECT_TRUE(this->Broke("wrong_values"));
+  EXPECT_TRUE(this->HasViolation("wrong_workspace"));
+  EXPECT_TRUE(this->HasViolation("wrong_values"));
 }
 
-TEST_F(PromiseCheckerTest, MoreThanTheWindowAllows_Run_IsOverTheRate) {
+TEST_F(GuaranteeCheckerTest, OnExecuted_AboveTheWindowLimit_IsOverTheRate) {
   this->checker.SetWindowLimit("w", 2);
   for (int count = 0; count < 3; ++count) {
     const std::string id = "a" + std::to_string(count);
     this->Send(id, milliseconds(count));
     this->Run(id, milliseconds(count));
   }
-  EXPECT_TRUE(this->Broke("over_rate"));
+  EXPECT_TRUE(this->HasViolation("over_rate"));
 }
 
-TEST_F(PromiseCheckerTest, WithdrawnKey_Run_IsNoticed) {
+TEST_F(GuaranteeCheckerTest, OnExecuted_WithdrawnKey_IsViolation) {
   SentStatement statement = this->Send("a", milliseconds(0));
-  statement.key_gone = true;
+  statement.key_revoked = true;
   this->checker.OnSent(statement);
   this->Run("a", milliseconds(1));
-  EXPECT_TRUE(this->Broke("withdrawn_key"));
+  EXPECT_TRUE(this->HasViolation("withdrawn_key"));
 }
 
-TEST_F(PromiseCheckerTest, AnswerForAnotherStatement_Told_IsCrossed) {
-  this->checker.OnTold("x", ToldOutcome::kDone, kStart);
-  EXPECT_TRUE(this->Broke("crossed_answer"));
+TEST_F(GuaranteeCheckerTest, OnOutcome_StatementNeverSent_IsCrossedAnswer) {
+  this->checker.OnOutcome("x", ClientOutcome::kDone, kStart);
+  EXPECT_TRUE(this->HasViolation("crossed_answer"));
 }
 
-TEST_F(PromiseCheckerTest, PlannedStopAlone_Cut_IsNoticed) {
+TEST_F(GuaranteeCheckerTest,
+       OnConnectionLost_PlannedOperationsOnly_IsViolation) {
   this->Send("a", milliseconds(0));
-  this->checker.OnCut("a", false, kStart + milliseconds(300));
-  EXPECT_TRUE(this->checker.Broken().empty());
-  this->checker.OnCut("a", true, kStart + milliseconds(300));
-  EXPECT_TRUE(this->Broke("cut_by_stop"));
+  this->checker.OnConnectionLost("a", false, kStart + milliseconds(300));
+  EXPECT_TRUE(this->checker.Violations().empty());
+  this->checker.OnConnectionLost("a", true, kStart + milliseconds(300));
+  EXPECT_TRUE(this->HasViolation("cut_by_stop"));
 }
 
-TEST_F(PromiseCheckerTest, CutOnItsWay_Cut_CountsOnlyIfItHasRun) {
+TEST_F(GuaranteeCheckerTest,
+       OnConnectionLost_SoonAfterSending_IsViolationOnlyIfExecuted) {
   this->Send("a", milliseconds(0));
-  this->checker.OnCut("a", true, kStart + milliseconds(100));
-  EXPECT_TRUE(this->checker.Broken().empty());
+  this->checker.OnConnectionLost("a", true, kStart + milliseconds(100));
+  EXPECT_TRUE(this->checker.Violations().empty());
   this->Run("a", milliseconds(50));
-  this->checker.OnCut("a", true, kStart + milliseconds(100));
-  EXPECT_TRUE(this->Broke("cut_by_stop"));
+  this->checker.OnConnectionLost("a", true, kStart + milliseconds(100));
+  EXPECT_TRUE(this->HasViolation("cut_by_stop"));
 }
 
 class FaultScheduleTest : public testing::Test {};
 
-// Guards against a failed seed that can't be played again.
-TEST_F(FaultScheduleTest, SameSeed_MakeSchedule_IsTheSame) {
+// Guards against a failed seed that can't be reproduced.
+TEST_F(FaultScheduleTest, MakeSchedule_SameSeed_IsTheSame) {
   const auto first = MakeSchedule(7, seconds(60));
   const auto second = MakeSchedule(7, seconds(60));
   ASSERT_EQ(first.size(), second.size());
   for (std::size_t index = 0; index < first.size(); ++index) {
     EXPECT_EQ(first[index].kind, second[index].kind);
     EXPECT_EQ(first[index].at, second[index].at);
-    EXPECT_EQ(first[index].lasts, second[index].lasts);
+    EXPECT_EQ(first[index].duration, second[index].duration);
   }
 }
 
-// Guards against runs that end in the middle of a fault.
-TEST_F(FaultScheduleTest, AnySeed_MakeSchedule_LeavesTheEndQuiet) {
+// Guards against runs that end during a fault.
+TEST_F(FaultScheduleTest, MakeSchedule_AnySeed_LeavesTheEndWithoutFaults) {
   for (std::uint64_t seed = 1; seed < 200; ++seed) {
     for (const Fault& fault : MakeSchedule(seed, seconds(25))) {
-      EXPECT_LE(fault.at + fault.lasts, seconds(25) - seconds(9));
+      EXPECT_LE(fault.at + fault.duration, seconds(25) - seconds(9));
     }
   }
 }
--- a/Source/UnitTests/Soak/proxy_process_test.cc
+++ b/Source/UnitTests/Soak/proxy_process_test.cc
@@ -22,9 +22,10 @@
   std::string folder;
 };
 
-// Guards against processes that inherit the soak's sockets: their ends would
-// stay hidden, and stand-in databases run out of connections (seed 240).
-TEST_F(ProxyProcessTest, OpenDescriptor_Start_IsNotInherited) {
+// Guards against processes that inherit the soak's sockets: peers would not
+// notice when the soak closes them, and the simulated databases would run out
+// of connections (soak seed 240).
+TEST_F(ProxyProcessTest, Start_OpenDescriptor_IsNotInherited) {
   const std::string program = this->folder + "/program";
   std::ofstream(program) << "#!/bin/sh\nls -l /proc/$$/fd\n";
   std::filesystem::permissions(program, std::filesystem::perms::owner_all);
