--- a/Source/Daemon/main.cc
+++ b/Source/Daemon/main.cc
@@ -6,7 +6,8 @@
 
 #include "Process/process.h"
 
-/// The daemon: reads and checks its settings, then runs until a signal.
+/// Entry point of the daemon: reads and validates the settings file, then runs
+/// until a signal stops it.
 
 namespace {
 
@@ -15,36 +16,38 @@
 using camphorferry::process::Settings;
 
 constexpr int kExitOk = 0;
-constexpr int kExitFailed = 1;
+constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 
-/// What the command line asked for.
+/// Command line options.
 struct Options {
-  std::string settings;
-  int check = 0;
-  int version = 0;
+  std::string settings_path;
+  int check_only = 0;
+  int print_version = 0;
 };
 
-/// Reads the command line; false on a usage error.
-bool ReadOptions(int argc, const char** argv, Options* options) {
-  const poptOption table[] = {{"check", 0, POPT_ARG_NONE, &options->check, 0,
-                               "Check the settings and exit", nullptr},
-                              {"version", 0, POPT_ARG_NONE, &options->version,
-                               0, "Print the version and exit", nullptr},
-                              POPT_AUTOHELP POPT_TABLEEND};
+/// Parses the command line. Returns false on a usage error.
+bool ParseOptions(int argc, const char** argv, Options* options) {
+  const poptOption table[] = {
+      {"check", 0, POPT_ARG_NONE, &options->check_only, 0,
+       "Check the settings and exit", nullptr},
+      {"version", 0, POPT_ARG_NONE, &options->print_version, 0,
+       "Print the version and exit", nullptr},
+      POPT_AUTOHELP POPT_TABLEEND};
   poptContext context = poptGetContext(nullptr, argc, argv, table, 0);
   poptSetOtherOptionHelp(context, "[OPTIONS] SETTINGS.toml");
   const int result = poptGetNextOpt(context);
   const char* file = poptGetArg(context);
-  if (file != nullptr) options->settings = file;
+  if (file != nullptr) options->settings_path = file;
   const bool valid = result == -1 && poptPeekArg(context) == nullptr;
   poptFreeContext(context);
-  return valid && (options->version != 0 || !options->settings.empty());
+  return valid &&
+         (options->print_version != 0 || !options->settings_path.empty());
 }
 
 int Run(const Options& options) {
-  const Settings settings = ReadSettings(options.settings);
-  if (options.check != 0) {
+  const Settings settings = ReadSettings(options.settings_path);
+  if (options.check_only != 0) {
     std::cout << "settings ok\n";
     return kExitOk;
   }
@@ -61,16 +64,15 @@
 
 int main(int argc, const char** argv) {
   Options options;
-  if (!ReadOptions(argc, argv, &options)) {
+  if (!ParseOptions(argc, argv, &options)) {
     std::cerr << "camphorferryd: invalid arguments; see --help\n";
     return kExitUsage;
   }
-  if (options.version != 0) {
+  if (options.print_version != 0) {
     std::cout << "camphorferryd 0.1.0\n";
     return kExitOk;
   }
-  // A write to a connection that the other side closed must not end the
-  // process.
+  // A write to a connection that the peer has closed must not end the process.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     return Run(options);
@@ -79,6 +81,6 @@
     return kExitUsage;
   } catch (const camphorferry::common::Error& error) {
     std::cerr << "camphorferryd: " << error.what() << "\n";
-    return kExitFailed;
+    return kExitFailure;
   }
 }
--- a/Source/Timeline/main.cc
+++ b/Source/Timeline/main.cc
@@ -8,8 +8,8 @@
 
 #include "Process/process.h"
 
-/// Collects the events of all given daemons over the network and prints them
-/// as one time line.
+/// Fetches the recorded events of the given daemons over HTTP and prints them
+/// as one timeline, ordered by time.
 
 namespace {
 
@@ -23,33 +23,34 @@
 
 constexpr int kExitOk = 0;
 constexpr int kExitUsage = 2;
-constexpr int kExitNoAnswer = 4;
-constexpr std::chrono::seconds kTimeout(5);
+constexpr int kExitUnreachable = 4;
+constexpr std::chrono::seconds kRequestTimeout(5);
 
-/// What the command line asked for.
+/// Command line options.
 struct Options {
-  int html = 0;
-  int version = 0;
-  std::vector<std::string> operators;
+  int print_html = 0;
+  int print_version = 0;
+  std::vector<std::string> operator_addresses;
 };
 
-/// Reads the command line; false on a usage error, which was reported.
-bool ReadOptions(int argc, const char** argv, Options* options) {
+/// Parses the command line. Prints a message and returns false on a usage
+/// error.
+bool ParseOptions(int argc, const char** argv, Options* options) {
   char* operator_address = nullptr;
   constexpr int kOperatorOption = 1;
   const poptOption table[] = {
       {"operator", 'o', POPT_ARG_STRING, &operator_address, kOperatorOption,
        "Operators' listener of a daemon; may be given several times",
        "IP:PORT"},
-      {"html", 0, POPT_ARG_NONE, &options->html, 0,
+      {"html", 0, POPT_ARG_NONE, &options->print_html, 0,
        "Print a self-contained HTML page instead of text", nullptr},
-      {"version", 0, POPT_ARG_NONE, &options->version, 0,
+      {"version", 0, POPT_ARG_NONE, &options->print_version, 0,
        "Print the version and exit", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
   poptContext context = poptGetContext(nullptr, argc, argv, table, 0);
   int result = poptGetNextOpt(context);
   while (result > 0) {
-    options->operators.emplace_back(operator_address);
+    options->operator_addresses.emplace_back(operator_address);
     result = poptGetNextOpt(context);
   }
   const bool valid = result == -1 && poptPeekArg(context) == nullptr;
@@ -60,12 +61,14 @@
   return valid;
 }
 
-/// Adds one daemon's events; false if it did not answer.
-bool Collect(const std::string& address, std::vector<TimelineEntry>* entries) {
+/// Fetches the events of one daemon and appends them. Prints a message and
+/// returns false if the daemon does not respond.
+bool FetchEvents(const std::string& address,
+                 std::vector<TimelineEntry>* entries) {
   HttpRequest request;
   request.path = "/operator/v1/events";
   const HttpResult result =
-      SendHttpBlocking(ParseSocketAddress(address), request, kTimeout);
+      SendHttpBlocking(ParseSocketAddress(address), request, kRequestTimeout);
   const auto* response = std::get_if<HttpResponse>(&result);
   if (response == nullptr) {
     std::cerr << "camphorferry-timeline: no answer from " << address << "\n";
@@ -79,28 +82,28 @@
 
 int Run(const Options& options) {
   std::vector<TimelineEntry> entries;
-  bool complete = true;
-  for (const std::string& address : options.operators) {
-    complete = Collect(address, &entries) && complete;
+  bool all_responded = true;
+  for (const std::string& address : options.operator_addresses) {
+    all_responded = FetchEvents(address, &entries) && all_responded;
   }
   camphorferry::process::SortTimeline(&entries);
-  std::cout << (options.html != 0
+  std::cout << (options.print_html != 0
                     ? camphorferry::process::TimelineToHtml(entries)
                     : camphorferry::process::TimelineToText(entries));
-  return complete ? kExitOk : kExitNoAnswer;
+  return all_responded ? kExitOk : kExitUnreachable;
 }
 
 }  // namespace
 
 int main(int argc, const char** argv) {
   Options options;
-  if (!ReadOptions(argc, argv, &options)) return kExitUsage;
-  if (options.version != 0) {
+  if (!ParseOptions(argc, argv, &options)) return kExitUsage;
+  if (options.print_version != 0) {
     std::cout << "camphorferry-timeline 0.1.0\n";
     return kExitOk;
   }
-  if (options.operators.empty()) {
-    std::cerr << "camphorferry-timeline: give at least one --operator\n";
+  if (options.operator_addresses.empty()) {
+    std::cerr << "camphorferry-timeline: at least one --operator is required\n";
     return kExitUsage;
   }
   try {
