--- a/scripts/check-standins.sh
+++ b/scripts/check-standins.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Smoke test of the stand-ins: one platform and a group of three databases are
-# started on free loopback ports, written to, failed over and compared.
+# Smoke test of the stand-in processes: starts one platform and a group of three
+# databases on free loopback ports, writes to them, fails over and compares
+# them.
 # Usage: check-standins.sh [BUILD_DIRECTORY]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -28,7 +29,7 @@
   [ "$2" = "$3" ] || fail "$1: found '$2', expected '$3'"
 }
 
-# Tries until the command succeeds, for at most 10 s.
+# Repeats the command until it succeeds, for at most 10 s.
 eventually() {
   for _ in $(seq 200); do
     if "$@"; then return 0; fi
@@ -57,7 +58,7 @@
   curl -s --max-time 5 "http://127.0.0.1:${port[$1]}$2" "${@:3}"
 }
 
-# ask FILTER NAME PATH [BODY]: one field of an answer.
+# ask FILTER NAME PATH [BODY] prints one field of a response.
 ask() {
   if [ $# -gt 3 ]; then call "$2" "$3" -d "$4"; else call "$2" "$3"; fi |
     jq -c -r "$1"
@@ -73,7 +74,8 @@
     jq -c -S '[.tables, .log_length, .position]'
 }
 
-# status_code NAME PATH [CURL_OPTION...]: HTTP status, or 000 without an answer.
+# status_code NAME PATH [CURL_OPTION...] prints the HTTP status, or 000 without
+# a response.
 status_code() {
   call "$1" "$2" -o "$work/body" -w '%{http_code}' "${@:3}" || true
 }
@@ -83,7 +85,8 @@
     "$1" "$2" "$3"
 }
 
-# Without idempotency the repeated payout would give -10.
+# Not idempotent by itself: without the idempotency key, the repeated statement
+# would result in -10.
 payout() {
   printf '{"term":%s,"operations":[{"op":"add","table":"t","key":"pot","amount":-5}],"idempotency":{"workspace":"w","key":"i","digest":"d"}}' \
     "$1"
@@ -95,7 +98,7 @@
 start c standin-database --id c --follow "127.0.0.1:${port[a]}" \
   --connections 2 --connect-delay-ms 12
 
-# Objects: conditional updates, watches, lost answers and an outage.
+# Objects: conditional updates, watches, lost responses and an outage.
 config=/objects/config
 expect 'absent object' "$(status_code platform $config)" 404
 expect 'create' "$(call platform "$config?if_version=0" -X PUT -d '{"a":1}')" \
@@ -122,7 +125,7 @@
   "http://127.0.0.1:${control[platform]}/control/hosts"
 expect 'hosts' "$(ask '.hosts[0].id' platform /hosts)" h
 
-# A write at term 1, confirmed by a replica and read there.
+# A write in term 1 that a replica confirms and serves.
 expect 'write' "$(ask .position a /v1/execute "$(put 1 k 7)")" '[1,2]'
 expect 'payout' "$(ask .results a /v1/execute "$(payout 1)")" '[-5]'
 expect 'write at a replica' "$(ask .reason b /v1/execute "$(put 1 k 8)")" \
@@ -136,8 +139,8 @@
 expect 'not JSON' "$(status_code b /v1/fence -d '{')" 400
 expect 'no effect of malformed requests' "$(ask .fence b /v1/status)" 1
 
-# An isolated primary answers nothing; the replicas do not get its last write
-# because they wait before they apply what they pull.
+# An isolated primary does not respond. The replicas do not get its last write,
+# because the replication delay prevents them from applying pulled entries.
 for replica in b c; do
   expect 'replication delay' \
     "$(inject $replica '{"replication_delay_ms":3600000}')" 200
@@ -146,7 +149,7 @@
 expect 'isolation' "$(inject a '{"isolated":true}')" 200
 expect 'isolated primary' "$(status_code a /v1/status --max-time 0.3)" 000
 
-# Promotion of b at term 2, while c follows it.
+# Promotion of b in term 2; c follows it.
 fence='{"term":2,"proposer":"p"}'
 for replica in b c; do
   expect 'replication delay' \
@@ -164,8 +167,8 @@
 expect 'confirmation at term 2' \
   "$(ask .held c /v1/confirm '{"position":[2,5],"wait_ms":4000}')" true
 
-# The old primary returns, refuses writes once it follows, and loses the write
-# that was never acknowledged.
+# The old primary is reachable again, rejects writes once it follows the new
+# one, and discards the write that was never acknowledged.
 inject a '{"isolated":false}' >"$work/code"
 expect 'old primary follows' "$(ask .accepted a /v1/follow "$follow")" true
 expect 'write at the old primary' \
@@ -176,7 +179,7 @@
 eventually all_equal || fail 'replicas differ from the primary'
 expect 'tables' "$(dump b)" '[{"t":{"k":9,"pot":-5}},5,[2,5]]'
 
-# Connections above the limit are refused; c has at most two.
+# Connections above the limit, which is two at c, are rejected.
 exec 8<>"/dev/tcp/127.0.0.1/${port[c]}" 9<>"/dev/tcp/127.0.0.1/${port[c]}"
 for descriptor in 8 9; do
   printf 'GET /v1/status HTTP/1.1\r\nHost: c\r\n\r\n' >&$descriptor
@@ -186,14 +189,14 @@
 expect 'surplus connection' "$(status_code c /v1/status)" 503
 expect 'reason' "$(jq -r .reason "$work/body")" too_many_connections
 
-# Open connections go silent while new ones work.
+# Open connections become silent while new ones work.
 exec 9>&-
 answers_again() { [ "$(status_code "$1" /v1/status)" = 200 ]; }
 eventually answers_again c || fail 'no connection became free'
 inject c '{"silence_open":true}' >"$work/code"
 printf 'GET /v1/status HTTP/1.1\r\nHost: c\r\n\r\n' >&8
 eventually answers_again c || fail 'new connections are silent too'
-# The rest of the first answer ends with its body; a second one never starts.
+# Only the rest of the first response may arrive, but no second status line.
 answers=$(timeout 0.3 cat <&8 | grep -c 'HTTP/1.1' || true)
 expect 'silent connection' "$answers" 0
 exec 8>&-
--- a/scripts/explain.sh
+++ b/scripts/explain.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Gathers what the logs of several daemons say about one request:
+# Explains one request from the logs of several daemons:
 #   scripts/explain.sh REQUEST_ID LOG...
-# Prints the lines of the request, then what the daemons decided about its
-# service, workspace, endpoint and keeper around that time, in the order of
-# time. Exit code 1 if no log names the request.
+# Prints the log lines of the request, then the decisions of the daemons about
+# its service, workspace, endpoint and keeper around that time, sorted by time.
+# Exits with 1 if no log contains the request.
 set -euo pipefail
 if [ $# -lt 2 ]; then
   printf 'usage: explain.sh REQUEST_ID LOG...\n' >&2
@@ -11,7 +11,7 @@
 fi
 request=$1
 shift
-# Time before and after the request's lines in which causes are looked for.
+# Time before and after the request's lines in which decisions are included.
 window_s=${EXPLAIN_WINDOW_S:-5}
 
 own=$(grep -h "request=$request\b" "$@" | sort -t= -k2,2 || true)
@@ -21,7 +21,7 @@
 fi
 printf '== request %s\n%s\n' "$request" "$own"
 
-# Values of the fields that tie other lines to this request.
+# Values of the fields by which other lines relate to this request.
 values=$(printf '%s\n' "$own" |
   grep -oE '\b(service|endpoint|workspace|keeper)=[^" ]+' |
   sed 's/^[^=]*=//' | sort -u)
@@ -39,7 +39,8 @@
       if (!match($0, /time=[^ ]+/)) next
       time = substr($0, RSTART + 5, RLENGTH - 5)
       if (time < from || time > to) next
-      # Lines of a service or a peer count if they name one of the values.
+      # Includes lines with a service or a peer only if they have one of the
+      # values.
       if ($0 ~ /(service|peer)=/) {
         named = 0
         for (i in wanted) {
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
 # Functions that start and stop a fleet of processes on loopback addresses.
-# Source this file after setting `build` (build folder) and `work` (an empty
+# Source this file after setting `build` (the build folder) and `work` (an empty
 # folder for settings and logs).
 
 fleet_pids=()
 
-# Ends all processes that were started here.
+# Kills all processes that these functions started.
 fleet_stop() {
   local pid
   for pid in "${fleet_pids[@]}"; do kill -CONT "$pid" 2>/dev/null || true; done
@@ -14,7 +14,7 @@
   fleet_pids=()
 }
 
-# Waits until a process has written its "ready" line: NAME.
+# Waits until a process has printed its "ready" line: NAME.
 fleet_wait_ready() {
   local name=$1 try
   for try in $(seq 1 600); do
@@ -41,7 +41,7 @@
   sed -n "s/^ready .*\b$2=\([0-9]*\).*/\1/p" "$work/$1.out" | head -1
 }
 
-# Starts the platform's stand-in.
+# Starts the stand-in of the platform: OPTIONS...
 fleet_start_platform() {
   fleet_start platform "$build/Source/StandIns/standin-platform" \
     --listen 127.0.0.1:0 --control 127.0.0.1:0 "$@"
@@ -68,7 +68,7 @@
   printf '%s %s %s %s\n' "$service" "$d1" "$d2" "$d3" >>"$work/services"
 }
 
-# Writes the declaration of the services that were started.
+# Prints the declarations of the started services: SLOTS CONNECTIONS.
 fleet_declare_services() {
   local slots=$1 connections=$2 service d1 d2 d3 i
   while read -r service d1 d2 d3; do
@@ -84,7 +84,7 @@
   done <"$work/services"
 }
 
-# Starts a daemon: ID DOMAIN. Each listener gets a port from the system.
+# Starts a daemon: ID DOMAIN. The operating system assigns the ports.
 fleet_start_daemon() {
   local id=$1 domain=$2
   cat >"$work/$id.toml" <<SETTINGS
@@ -117,7 +117,7 @@
   printf '%s %s\n' "$id" "$domain" >>"$work/daemons"
 }
 
-# Tells the platform's host list about all daemons that were started.
+# Publishes all started daemons in the platform's host list.
 fleet_publish_hosts() {
   local id domain list=
   while read -r id domain; do
@@ -141,8 +141,8 @@
   return 1
 }
 
-# Writes declarations of workspaces, keys and routes: COUNT RATE BURST SERVICES...
-# The keys themselves go to $work/keys, one "workspace key" a line.
+# Prints declarations of workspaces, keys and routes: COUNT RATE BURST
+# SERVICES... Writes the keys to $work/keys, one "workspace key" per line.
 fleet_declare_workspaces() {
   local count=$1 rate=$2 burst=$3 i key digest names=
   shift 3
@@ -164,7 +164,8 @@
   done
 }
 
-# Address of a daemon's listener: ID clients_port|operators_port|peers_port.
+# Prints the address of a daemon's listener:
+# ID clients_port|operators_port|peers_port.
 fleet_address() {
   printf '127.0.0.1:%s' "$(fleet_value "$1" "$2")"
 }
@@ -180,7 +181,7 @@
     apply --digest "$digest" "$@"
 }
 
-# Sets faults at a stand-in: NAME JSON.
+# Injects faults into a stand-in process: NAME JSON.
 fleet_fault() {
   curl -sf -X POST -d "$2" \
     "http://127.0.0.1:$(fleet_value "$1" control_port)/control/faults" \
@@ -205,8 +206,8 @@
   done
 }
 
-# Writes the ports that a daemon got into its settings, so that it gets the same
-# ones when it is started again: ID.
+# Writes the assigned ports of a daemon into its settings, so that it uses the
+# same ports after a restart: ID.
 fleet_keep_ports() {
   local listener
   for listener in clients operators peers; do
@@ -215,19 +216,19 @@
   done
 }
 
-# Starts a daemon again with its settings: ID.
+# Starts a daemon with its existing settings: ID.
 fleet_restart_daemon() {
   fleet_start "$1" "$build/Source/Daemon/camphorferryd" "$work/$1.toml"
 }
 
-# Prints the state of a database and everything that it holds: NAME. The
-# control listener does not count against the limit of connections.
+# Prints the state and the contents of a database: NAME. The control listener
+# does not count against the connection limit.
 fleet_dump() {
   curl -sf -m 2 \
     "http://127.0.0.1:$(fleet_value "$1" control_port)/control/dump"
 }
 
-# Prints a daemon's state: ID.
+# Prints the status of a daemon: ID.
 fleet_daemon_status() {
   curl -sf -m 2 "http://$(fleet_address "$1" operators_port)/operator/v1/status"
 }
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build and the tests need.
+# Installs the Debian packages that the build and the tests require.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache pkg-config clang-format clang-tidy
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Measures a fleet of real processes under load and faults:
 #   scripts/measure.sh --profile trust|directorate [--seconds N] [--faults LIST]
-# Prints one line a figure: figure=NAME profile=P value=V unit=U n=N fault=F.
+# Prints one line per figure: figure=NAME profile=P value=V unit=U n=N fault=F.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 profile=trust
@@ -75,12 +75,12 @@
     "$work/domains.toml" >/dev/null
   local id
   while read -r id _; do fleet_wait_serving "$id"; done <"$work/daemons"
-  # Rate slots are taken and buckets fill within seconds of the start.
+  # Daemons take their rate slots and fill their token buckets in this time.
   sleep 4
 }
 
-# Load file: three large workspaces and five small ones; with a flood, the
-# first asks five times its rate.
+# Writes the load file: three large and five small workspaces. With a flood, the
+# first workspace requests five times its rate.
 write_load() {
   local flood_rate=$1 name key rate sessions list= clients= id
   while read -r name key; do
@@ -128,7 +128,7 @@
   esac
 }
 
-# Processor time, memory of the daemons over the run, for the control figures.
+# Prints the resident memory of each running daemon.
 print_daemons() {
   local fault=$1 id pid rss
   while read -r id _; do
--- a/scripts/process-tests/bad_input.sh
+++ b/scripts/process-tests/bad_input.sh
@@ -1,20 +1,20 @@
 #!/usr/bin/env bash
-# Guards against a daemon that ends, stops serving other clients or grows
-# without bound when it gets malformed, oversized, unauthorized or never-ending
-# requests.
+# Guards against a daemon that exits, stops serving other clients or uses
+# unbounded memory when it receives malformed, oversized, unauthorized or
+# never-ending requests.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
-# Writing to a connection that the daemon closed must not end this script.
+# A write to a connection that the daemon has closed must not end this script.
 trap '' PIPE
 
 readonly target=east-1
-# The largest request is 1 MB; buffering one of the 64 MB bodies that are sent
-# exceeds this growth.
+# The largest accepted request is 1 MB. A daemon that buffers one of the 64 MB
+# bodies exceeds this growth.
 readonly max_growth_kb=$((48 * 1024))
 readonly held_connections=40
 
-# Prints a number of seeded random bytes: COUNT.
+# Prints seeded random bytes: COUNT.
 random_bytes() {
   local i text=
   for ((i = 0; i < $1; i++)); do
@@ -23,7 +23,7 @@
   printf '%b' "$text"
 }
 
-# Sends standard input to a listener and drops what comes back: LISTENER.
+# Sends standard input to a listener and discards the response: LISTENER.
 send_raw() {
   local connection
   exec {connection}<>"/dev/tcp/127.0.0.1/$(fleet_value "$target" "$1")"
@@ -43,7 +43,7 @@
     '[{"op":"get","table":"t","key":"k"}]' >/dev/null 2>&1
 }
 
-# Prints the response code for a body of 64 MB: LISTENER PATH CURLOPTIONS...
+# Prints the response code for a body of 64 MB: LISTENER PATH CURL_OPTIONS...
 send_oversized() {
   local listener=$1 path=$2
   shift 2
@@ -65,7 +65,8 @@
       send_raw "$listener" <"$work/bytes"
     done
   done
-  # A correct start of HTTP/2, which the peers' listener speaks.
+  # A valid HTTP/2 connection preface, since the peers' listener uses HTTP/2,
+  # followed by random bytes.
   {
     printf 'PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n'
     cat "$work/bytes"
@@ -79,7 +80,7 @@
   send_raw "$listener" <"$work/length"
   serves || fail "no service after random bytes to $listener"
 
-  # These requests never end; the connections stay open.
+  # Incomplete requests on connections that stay open.
   for ((i = 0; i < held_connections; i++)); do
     exec {connection}<>"/dev/tcp/127.0.0.1/$(fleet_value "$target" "$listener")"
     printf 'POST /v1/statement HTTP/1.1\r\nContent-Length: 100\r\n' \
@@ -104,7 +105,7 @@
 done
 
 # Slow senders: one more byte at a time on each connection, while other clients
-# are served.
+# must still be served.
 for byte in X - A : b; do
   for connection in "${held[@]}"; do
     printf '%s' "$byte" 1>&"$connection" 2>/dev/null || true
--- a/scripts/process-tests/daemon_killed.sh
+++ b/scripts/process-tests/daemon_killed.sh
@@ -19,6 +19,6 @@
 fleet_wait "$limit" "another daemon owns the connections" another_owner
 find_primary 0 ledger-1 ledger-2 ledger-3 || fail "no primary"
 wait_for_writes "$primary" 20
-say "writes go on at $primary"
+say "writes continue at $primary"
 check_load
 printf 'ok %s\n' "$name"
--- a/scripts/process-tests/daemon_paused.sh
+++ b/scripts/process-tests/daemon_paused.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Guards against a daemon that wakes up from a pause and has an order of its own
-# accepted under a term that was superseded while it slept.
+# Guards against a daemon that resumes after a pause and completes a promotion
+# in a term that was superseded during the pause.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
-# Prints the daemon that was first to promote a primary of the service.
+# Prints the first daemon in the list that has sent a promotion of the service.
 promoter() {
   local id
   while read -r id _; do
@@ -29,8 +29,8 @@
 start_fleet
 start_load 14
 wait_for_writes ledger-1 20
-# The daemon that wins the first promotion is the coordinator; it is paused in
-# the next one, so that it wakes up with that promotion under way.
+# The daemon that performs the first promotion is the coordinator. It is paused
+# when the next promotion begins, so that it resumes in the middle of it.
 fleet_fault ledger-1 '{"isolated":true}'
 fleet_wait "$limit" "a daemon has promoted a database" some_promoter
 paused=$(promoter)
@@ -59,21 +59,21 @@
 fleet_wait "$limit" "the daemon learns the term" \
   knows_term "$paused" "$second_term"
 wait_for_writes "$second" 10
-say "woke $paused up, it knows term $second_term"
+say "resumed $paused, it knows term $second_term"
 check_load
-# What it ordered under an old term must have been rejected: no database is a
-# primary or a follower below the later term.
+# Its requests in an old term must have been rejected: no database is a primary
+# or a follower below the later term.
 remaining=ledger-1
 [ "$second" != ledger-1 ] || remaining=$other
 fleet_wait "$limit" "$remaining follows" is_replica "$remaining" "$second_term"
 fleet_wait "$limit" "the remaining databases hold the same" \
   same_content "$second" "$remaining"
 [ "$(fleet_dump "$second" | jq .term)" = "$second_term" ] ||
-  fail "the term changed after the daemon woke up"
-# A promotion by the woken daemon is legal only above the term it found.
+  fail "the term changed after the daemon resumed"
+# A promotion by the resumed daemon is valid only above the term that it found.
 lower=$(fleet_events "$paused" | jq "[.events[] |
   select(.event == \"primary_known\") | .fields.term | tonumber] |
   [.[1:], .[:-1]] | transpose | map(select(.[0] < .[1])) | length")
 [ "$lower" = 0 ] || fail "$paused went back to a lower term"
-say "no order under an old term was accepted"
+say "no request in an old term was accepted"
 printf 'ok %s\n' "$name"
--- a/scripts/process-tests/explain.sh
+++ b/scripts/process-tests/explain.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against an explanation of a request that leaves out what was decided
-# about its service, or brings lines of other services and other times.
+# Guards against an explanation of a request that omits decisions about its
+# service, or includes lines of other services or other times.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 folder=$(mktemp -d)
--- a/scripts/process-tests/key_withdrawn.sh
+++ b/scripts/process-tests/key_withdrawn.sh
@@ -1,20 +1,20 @@
 #!/usr/bin/env bash
-# Guards against a withdrawn key that is still served, also on connections that
-# were open before, and against a withdrawal that stops other workspaces.
+# Guards against a withdrawn key that is still accepted, on new or on already
+# open connections, and against a withdrawal that affects other workspaces.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
 senders=()
 readonly write='[{"op":"add","table":"t","key":"k","amount":1}]'
 
-# Sends requests on a kept connection to a daemon, one response code a line,
-# until the file $work/stop exists: ID KEY OUTPUT. The second number of a line
-# is 0 if the connection was kept.
+# Sends requests on a persistent connection to a daemon until the file
+# $work/stop exists: ID KEY OUTPUT. Writes one line per response with its code
+# and the number of new connections, which is 0 if the connection was reused.
 send_steadily() {
   local url
   url="http://$(fleet_address "$1" clients_port)/v1/statement"
   while [ ! -e "$work/stop" ]; do
-    # Standard error is not buffered, so each line is there at once.
+    # Standard error is unbuffered, so each line is written immediately.
     curl -s -m 20 -o /dev/null -w '%{stderr}%{http_code} %{num_connects}\n' \
       -H "Authorization: Bearer $2" \
       -d "{\"route\":\"ledger\",\"operations\":$write}" --rate 20/s \
@@ -30,7 +30,7 @@
 
 count() { grep -c "^$1 " "$work/$2" || true; }
 
-# Succeeds if more requests than that had this response code: FILE CODE COUNT.
+# Succeeds if more than COUNT requests had this response code: FILE CODE COUNT.
 more_than() { [ "$(count "$2" "$1")" -gt "$3" ]; }
 
 start_fleet
@@ -79,7 +79,7 @@
 done <"$work/daemons"
 stop_own_processes
 while read -r id _; do
-  # One request may have been under way at the time of the report.
+  # One request may have been in flight at the time of the report.
   late=$(($(count 200 "$id.withdrawn") - $(cat "$work/$id.served")))
   [ "$late" -le 1 ] || fail "$id served $late requests after the withdrawal"
   after_refusal=$(sed -n '/^401 /,$p' "$work/$id.withdrawn" |
--- a/scripts/process-tests/lost_store_answer.sh
+++ b/scripts/process-tests/lost_store_answer.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
 # Guards against a plan that is applied twice or reported as failed when the
-# store's answer was lost, and against two operators who both succeed.
+# store's response was lost, and against two concurrent operators that both
+# succeed.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
-# Runs the operators' command line: COMMAND...
+# Runs the command line tool for operators: COMMAND...
 ctl() {
   "$build/Source/Control/camphorferryctl" --operator \
     "$(fleet_address east-1 operators_port)" "$@"
 }
 
-# Version of the configuration in the store.
+# Prints the version of the configuration in the store.
 stored_version() {
   curl -sf -m 2 "http://$platform/objects/config" | jq .value.version
 }
--- a/scripts/process-tests/primary_isolated.sh
+++ b/scripts/process-tests/primary_isolated.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against acknowledgements from a primary that was cut off alive, and
-# against one that keeps entries of its own after it came back.
+# Guards against acknowledgements by an isolated primary that is still running,
+# and against one that keeps its own entries after it is reachable again.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
@@ -8,7 +8,7 @@
 start_load 8
 wait_for_writes ledger-1 20
 fleet_fault ledger-1 '{"isolated":true}'
-say "primary cut off"
+say "primary isolated"
 fleet_wait "$limit" "another database is primary" \
   find_primary 1 ledger-2 ledger-3
 say "$primary was promoted"
--- a/scripts/process-tests/rolling_restart.sh
+++ b/scripts/process-tests/rolling_restart.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against requests that a graceful shutdown cuts and against daemons that
-# do not exit cleanly or do not serve again after a restart.
+# Guards against requests that a graceful shutdown interrupts, and against
+# daemons that do not exit cleanly or do not serve after a restart.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
--- a/scripts/process-tests/setup.sh
+++ b/scripts/process-tests/setup.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Sourced by each process test: sets up an empty work folder, ends all processes
-# when the test ends, and starts a small fleet with load.
+# Sourced by each process test: creates an empty work folder, kills all
+# processes when the test ends, and has functions that start a small fleet and
+# load.
 set -euo pipefail
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/../.." && pwd)
 name=$(basename "$0" .sh)
@@ -11,13 +12,13 @@
 # Seeds the keys of the workspaces.
 RANDOM=20261204
 
-# Limit for each awaited event; far above what any of them takes.
+# Timeout in seconds for each awaited event, far above the usual time.
 readonly limit=45
 
-# A test that starts processes of its own ends them here.
+# A test that starts its own processes overrides this function to stop them.
 stop_own_processes() { :; }
 
-# Prints the state of each database that answers, without its contents.
+# Prints the state of each database that responds, without its contents.
 print_databases() {
   local index
   for index in 1 2 3; do
@@ -118,7 +119,7 @@
   sed -n "s/^figure=$1 .*\bvalue=\([^ ]*\) .*/\1/p" "$work/figures"
 }
 
-# Waits for the end of the load and checks that its ledger is intact.
+# Waits for the end of the load and checks that its accounts are consistent.
 check_load() {
   local status=0
   wait "$load" || status=$?
@@ -132,12 +133,12 @@
   say "ledger intact, $(figure served) requests served"
 }
 
-# Succeeds if a database's log has more entries than that: NAME COUNT.
+# Succeeds if a database's log has more than COUNT entries: NAME COUNT.
 log_longer() {
   fleet_dump "$1" | jq -e ".position[1] > $2" >/dev/null
 }
 
-# Waits until a database has written so many further entries: NAME COUNT.
+# Waits until a database has written COUNT further entries: NAME COUNT.
 wait_for_writes() {
   local from
   from=$(fleet_dump "$1" | jq '.position[1]')
@@ -145,7 +146,8 @@
     $((from + $2))
 }
 
-# Sets `primary` to the database that is primary of a term above: TERM NAMES...
+# Sets `primary` to the database that is primary of a term above TERM: TERM
+# NAMES...
 find_primary() {
   local above=$1 database
   shift
--- a/scripts/process-tests/silent_connections.sh
+++ b/scripts/process-tests/silent_connections.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against requests that wait for ever on connections that went silent,
-# and against outcomes that are reported wrongly when they are given up.
+# Guards against requests that wait forever on connections that have become
+# silent, and against wrong outcomes of the requests that time out on them.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
@@ -9,7 +9,7 @@
 wait_for_writes ledger-1 20
 for database in ledger-1 ledger-2 ledger-3; do
   fleet_fault "$database" '{"silence_open":true}'
-  say "connections of $database went silent"
+  say "connections of $database are silent"
   find_any_primary() { find_primary 0 ledger-1 ledger-2 ledger-3; }
   fleet_wait "$limit" "a primary" find_any_primary
   wait_for_writes "$primary" 20
--- a/scripts/process-tests/store_down_start.sh
+++ b/scripts/process-tests/store_down_start.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against a daemon that, started while the store is down, does not serve
-# or serves by a configuration that was replaced before.
+# Guards against a daemon that is started while the store is down and does not
+# serve, or serves with an outdated configuration.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
@@ -16,13 +16,13 @@
 
 start_fleet
 fleet_wait "$limit" "version 1 is in force" in_force_everywhere 1
-# The second version has no key of the first workspace any more.
+# The second version no longer has the key of the first workspace.
 sed '/^\[key.key-1\]/,/^$/d' "$work/workspaces.toml" >"$work/replaced.toml"
 fleet_apply "$work/services.toml" "$work/replaced.toml" "$work/domains.toml"
 fleet_wait "$limit" "version 2 is in force" in_force_everywhere 2
 fleet_fault platform '{"down":true}'
-# A new daemon knows its peers from its settings only, as the host list is down
-# too.
+# A new daemon gets its peers from its settings only, because the host list is
+# unavailable too.
 hosts=
 while read -r id domain; do
   hosts+="${hosts:+, }{ id = \"$id\", domain = \"$domain\", address = "
@@ -33,7 +33,7 @@
   -e "s/^hosts = .*/hosts = [$hosts]/" "$work/east-1.toml" >"$work/east-3.toml"
 fleet_restart_daemon east-3
 say "started east-3 while the store is down"
-# From its first answer on, it must never serve the withdrawn key.
+# It must reject the withdrawn key from its first response on.
 served=0
 refused=0
 end=$((SECONDS + limit))
@@ -43,7 +43,7 @@
     -d "{\"route\":\"ledger\",\"operations\":$read_one}" \
     "http://$(fleet_address east-3 clients_port)/v1/statement" || true)
   case $replaced in
-    *'"done"'*) fail "east-3 served by a replaced configuration" ;;
+    *'"done"'*) fail "east-3 served with a replaced configuration" ;;
     *unknown_key*) refused=$((refused + 1)) ;;
   esac
   if send_statement east-3 "$(key_of ws-2)" "$read_one" \
@@ -54,5 +54,5 @@
 done
 fleet_daemon_status east-3 | jq -e '.configuration_version == 2' >/dev/null ||
   fail "east-3 does not hold version 2"
-say "east-3 serves by version 2 and refuses the key that was removed"
+say "east-3 serves with version 2 and refuses the key that was removed"
 printf 'ok %s\n' "$name"
--- a/scripts/process-tests/two_promotions.sh
+++ b/scripts/process-tests/two_promotions.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Guards against acknowledged writes that are lost when a second promotion
-# depends on a database that was the primary before and has come back.
+# depends on a former primary that is reachable again.
 # shellcheck source=scripts/process-tests/setup.sh
 . "$(dirname "$0")/setup.sh"
 
@@ -12,7 +12,7 @@
   find_primary 1 ledger-2 ledger-3
 second=$primary
 term=$(fleet_dump "$second" | jq .term)
-say "first primary cut off, $second was promoted"
+say "first primary isolated, $second was promoted"
 wait_for_writes "$second" 10
 fleet_fault ledger-1 '{"isolated":false}'
 fleet_wait "$limit" "the first primary follows" is_replica ledger-1 "$term"
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Builds the programs and shows one whole path on loopback addresses: a
-# configuration, a write, a read of it at a replica, a failover, a withdrawn key.
+# Builds the programs and demonstrates them on loopback addresses: a
+# configuration change, a write, a read of it at a replica, a failover, a
+# withdrawn key.
 #   scripts/quickstart.sh [--no-build]
-# CAMPHORFERRY_BUILD names the build folder; --no-build uses it as it is.
+# CAMPHORFERRY_BUILD is the build folder; --no-build uses it without building.
 set -euo pipefail
 
 usage() { printf 'usage: quickstart.sh [--no-build]\n' >&2; }
@@ -25,7 +26,7 @@
   exit 2
 fi
 
-# A relative build folder counts from the caller's folder.
+# A relative build folder is relative to the caller's working directory.
 build=${CAMPHORFERRY_BUILD:-}
 if [ -n "$build" ]; then build=$(realpath -m "$build"); fi
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
@@ -51,7 +52,8 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-# Kills a process and forgets its id, which the system may give out again: NAME.
+# Kills a process and removes its id from the list, since the operating system
+# may reuse the id: NAME.
 kill_for_good() {
   local pid other left=()
   pid=$(cat "$work/$1.pid")
@@ -63,14 +65,14 @@
   fleet_pids=("${left[@]}")
 }
 
-# Announces a step: TEXT.
+# Prints the start of a step: TEXT.
 step() {
   current=$1
   awk -v now="$EPOCHREALTIME" -v start="$started" -v text="$1" \
     'BEGIN { printf "[%7.2f s] %s\n", now - start, text }'
 }
 
-# Ends the run with a reason: TEXT.
+# Exits with an error message: TEXT.
 fail() {
   printf 'quickstart: %s\n' "$1" >&2
   exit 1
@@ -112,7 +114,7 @@
 
 # Sends a statement with the workspace's key: DAEMON BODY CURL-OPTIONS...
 # Sets status, answer and, if the answer carries one, the session token.
-# The key goes through a file, so that no process list shows it.
+# Passes the key in a file, so that it does not appear in process lists.
 send() {
   local daemon=$1 body=$2
   shift 2
@@ -130,14 +132,14 @@
   if [ -n "$token" ]; then session=$token; fi
 }
 
-# Ends the run unless the last statement was done.
+# Exits with an error unless the last statement was done.
 require_done() {
   printf '    %s %s\n' "$status" "$answer"
   if [ "$status" != 200 ]; then fail "expected status 200"; fi
 }
 
 # Puts a value under a key, unless it is there already: DAEMON KEY VALUE.
-# The idempotency key makes a repetition after an unknown outcome safe.
+# The idempotency key allows a safe retry after an unknown outcome.
 put_once() {
   send "$1" "{\"route\":\"ledger\",\"operations\":[{\"op\":\"put\",
     \"table\":\"contributions\",\"key\":\"$2\",\"value\":$3}]}" \
@@ -149,7 +151,8 @@
     \"table\":\"contributions\",\"key\":\"$2\"}]}"
 }
 
-# Ends the run unless the last answer's first result has this value: VALUE.
+# Exits with an error unless the first result of the last response is this
+# value: VALUE.
 require_value() {
   local found
   found=$(jq -c '.results[0]' <<<"$answer")
@@ -162,7 +165,7 @@
     jq -r '.primaries.ledger | "\(.endpoint) \(.term)"'
 }
 
-# Succeeds when a daemon believes in a primary of a higher term: DAEMON TERM.
+# Succeeds if a daemon knows a primary of a higher term: DAEMON TERM.
 has_newer_primary() {
   local endpoint term
   read -r endpoint term < <(believed_primary "$1")
@@ -192,7 +195,7 @@
 domains=(east west north)
 
 if $with_build; then
-  step "install the packages that are missing"
+  step "install missing packages"
   scripts/install-packages.sh
   step "build the programs"
   build_programs
@@ -270,7 +273,7 @@
 idempotency_key="$(date +%s)-quickstart-after"
 body='{"route":"ledger","operations":[{"op":"put","table":"contributions",
   "key":"after","value":"written after the kill"}]}'
-# A client repeats an unknown outcome with the same idempotency key.
+# After an unknown outcome, a client retries with the same idempotency key.
 for _ in $(seq 1 20); do
   send ferry-2 "$body" -H "Idempotency-Key: $idempotency_key" \
     -H 'Camphorferry-Deadline-Ms: 10000'
@@ -311,12 +314,12 @@
   printf '    %s: %s %s\n' "$daemon" "$status" "$answer"
 done
 
-step "show the end of the time line"
+step "show the end of the timeline"
 "$build/Source/Timeline/camphorferry-timeline" "${operators[@]}" \
   >"$work/timeline"
 tail -n 12 "$work/timeline" | sed 's/^/    /'
 grep -q primary_known "$work/timeline" ||
-  fail "the time line names no primary"
+  fail "the timeline contains no primary"
 
 current="stop the processes"
 fleet_stop
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures how the costs of a daemon grow with the size of the fleet, of the
-# configuration and of its clients. Prints one line for each point and, by
-# least squares over the points of a slope, one line for each slope.
+# Measures how the resource usage of a daemon grows with the size of the fleet,
+# of the configuration and of its clients. Prints one line for each measured
+# point and one for each slope, which is a least squares fit through its points.
 # Usage: slopes.sh [GROUP...]; without a group all groups are measured.
 # BUILD_FOLDER names the build folder (default: build under the repository's
 # root), WINDOW_SECONDS the length of one sample (default: 8).
@@ -9,7 +9,7 @@
 cd "$(dirname "$0")/.."
 build=${BUILD_FOLDER:-build}
 window=${WINDOW_SECONDS:-8}
-# Ownership, slot leases and gRPC connections are stable after this time.
+# Time until endpoint ownership, slot leases and gRPC connections are stable.
 readonly settle_seconds=4
 readonly ticks_per_second=$(getconf CLK_TCK)
 base=$(mktemp -d)
@@ -25,14 +25,14 @@
 trap finish EXIT
 trap 'exit 1' INT TERM
 
-# Prints one point and keeps it for the slope: NAME SIZE VALUE UNIT.
+# Prints one point and records it for the slope: NAME SIZE VALUE UNIT.
 point() {
   printf 'slope=%s size=%s value=%s unit=%s\n' "$1" "$2" "$3" "$4"
   printf '%s %s\n' "$2" "$3" >>"$base/points.$1"
   printf '%s' "$4" >"$base/unit.$1"
 }
 
-# Prints the line through the points of a slope: NAME PER.
+# Prints the least squares fit through the points of a slope: NAME PER.
 slope() {
   awk -v name="$1" -v per="$2" -v unit="$(<"$base/unit.$1")" '
     { n++; x += $1; y += $2; xx += $1 * $1; xy += $1 * $2 }
@@ -43,7 +43,7 @@
     }' "$base/points.$1"
 }
 
-# Begins a fleet with its own folder and platform: NAME.
+# Prepares a new fleet with its own folder and platform: NAME.
 begin() {
   work=$base/$1
   mkdir "$work"
@@ -60,15 +60,15 @@
 
 daemon_names() { cut -d' ' -f1 "$work/daemons"; }
 
-# Writes the declared domains as JSON members; a domain has as many rate slots
-# as daemons.
+# Prints the declarations of the domains as JSON members. A domain has as many
+# rate slots as daemons.
 domains_json() {
   cut -d' ' -f2 "$work/daemons" | sort | uniq -c |
     awk '{ printf "%s\"%s\":{\"region\":\"r1\",\"rate_slots\":%d}",
            (NR > 1 ? "," : ""), $2, $1 }'
 }
 
-# Writes the started services as JSON members.
+# Prints the declarations of the started services as JSON members.
 services_json() {
   local service d1 d2 d3 i domain list= endpoints
   while read -r service d1 d2 d3; do
@@ -85,8 +85,8 @@
   printf '%s' "$list"
 }
 
-# Writes COUNT services of DOMAIN without databases behind them. The addresses
-# are loopback addresses on which nobody listens.
+# Prints the declarations of COUNT services of DOMAIN without databases. Nothing
+# listens on their addresses, which are loopback addresses.
 idle_services_json() {
   awk -v count="$1" -v domain="$2" 'BEGIN {
     for (s = 0; s < count; s++) {
@@ -117,7 +117,7 @@
   }'
 }
 
-# Routes to the first service for one workspace each.
+# Prints COUNT routes to the first service for the first workspace.
 routes_json() {
   awk -v count="$1" 'BEGIN {
     for (r = 0; r < count; r++)
@@ -126,7 +126,7 @@
   }'
 }
 
-# Puts declarations in force: DAEMON WORKSPACES SERVICES ROUTES KEYS.
+# Plans and applies declarations: DAEMON WORKSPACES SERVICES ROUTES KEYS.
 apply() {
   local address digest
   address=127.0.0.1:$(fleet_value "$1" operators_port)
@@ -152,7 +152,8 @@
 # Resident memory in kB: NAME.
 resident_kb() { awk '/^VmRSS:/ { print $2 }' "/proc/$(pid_of "$1")/status"; }
 
-# Used processor time in ticks: NAME. Fields are counted after the command name.
+# Consumed processor time in ticks: NAME. Skips the command name, which may
+# contain spaces, before it selects the fields.
 cpu_ticks() {
   sed 's/.*) //' "/proc/$(pid_of "$1")/stat" | awk '{ print $12 + $13 }'
 }
@@ -206,8 +207,8 @@
       }'
 }
 
-# Bytes per second of a kind between two files of socket_bytes: KIND. A socket
-# opened in between counts from zero; one closed in between is left out.
+# Bytes per second of a kind between two outputs of socket_bytes: KIND. A socket
+# that was opened in between counts from zero; one that was closed is ignored.
 bytes_per_second() {
   awk -v kind="$1" -v seconds="$window" '
     NR == FNR { before[$1] = $3; next }
@@ -264,20 +265,20 @@
   done
 }
 
-# Starts daemons with names PREFIX-1 and so on: PREFIX COUNT DOMAIN.
+# Starts daemons with the names PREFIX-1, PREFIX-2, ...: PREFIX COUNT DOMAIN.
 start_daemons() {
   local i
   for i in $(seq 1 "$2"); do fleet_start_daemon "$1-$i" "$3"; done
 }
 
-# Publishes the host list and waits until all daemons have read it; a daemon
-# that knows no other takes all rate slots of its domain.
+# Publishes the host list and waits until all daemons have read it. A daemon
+# that knows no other daemon takes all rate slots of its domain.
 publish_hosts() {
   fleet_publish_hosts
   sleep 2
 }
 
-# Sends COUNT writes, one after the other, on one connection: PORT COUNT.
+# Sends COUNT writes sequentially on one connection: PORT COUNT.
 send_statements() {
   local fd line length body
   body='{"route":"ledger","repeatable":true,'
@@ -296,8 +297,8 @@
   done
 }
 
-# Processor time of all daemons together for acknowledged writes that reach the
-# fleet at one daemon: PREFIX DAEMONS.
+# Measures the total processor time of all daemons for acknowledged writes that
+# clients send to one daemon: PREFIX DAEMONS.
 statements_at() {
   local prefix=$1 size ticks sender senders i
   begin "$prefix"
@@ -332,8 +333,8 @@
   statements_at statements_shared 4
 }
 
-# Sends one statement on each of COUNT new connections to DAEMON and keeps them
-# open until a line comes on standard input.
+# Opens COUNT connections, sends one statement on each, and keeps them open
+# until a line arrives on standard input: PORT COUNT.
 hold_connections() {
   local port=$1 count=$2 i fd line length body fds=()
   body='{"route":"ledger","operations":[{"op":"get","table":"t","key":"k"}]}'
@@ -387,8 +388,8 @@
   slope client_connections_cpu idle_client_connection
 }
 
-# One service; up to nine daemons of a domain exchange heartbeats in pairs, more
-# of them in a ring.
+# Measures one service with different numbers of daemons. Up to nine daemons of
+# a domain exchange heartbeats in pairs; more use a ring.
 fleet_by_daemons() {
   local prefix=$1 size calls
   shift
@@ -420,7 +421,8 @@
 
 measure_ring() { fleet_by_daemons ring 12 18 24; }
 
-# One daemon in each failure domain, which is the relay of all its pairs.
+# Measures one daemon in each failure domain, which is the relay of all pairs of
+# its domain.
 measure_domains() {
   local size i
   for size in 2 4 8; do
@@ -437,7 +439,7 @@
   slopes_of_fleet domains failure_domain
 }
 
-# All services are owned and watched over by the one daemon.
+# Measures one daemon that owns and monitors all services.
 measure_services() {
   local size i
   for size in 1 3 6; do
@@ -454,9 +456,9 @@
   slopes_of_fleet services owned_service
 }
 
-# Samples a daemon that owns none of the declared services: HOSTS SERVICES PREFIX
-# SIZE. It starts after the owners, because a daemon that knows no other owns
-# all endpoints for a moment and keeps that memory.
+# Samples a daemon that owns none of the declared services: HOSTS SERVICES
+# PREFIX SIZE. It starts after the owners, because a daemon that knows no other
+# daemon owns all endpoints for a moment and does not release that memory.
 sample_declared() {
   local ticks
   begin "$3-$4"
@@ -476,8 +478,8 @@
   fleet_stop
 }
 
-# A window of 15 s resolves 0.7 ms/s at 100 clock ticks a second; these costs
-# are smaller than the others.
+# These costs are small, so the window is longer: 15 s resolve 0.7 ms/s at 100
+# clock ticks per second.
 measure_declared() {
   local size window=15
   for size in 250 500 1000; do sample_declared 4 "$size" declared "$size"; done
@@ -487,8 +489,8 @@
   slope declared_hosts_cpu daemon_of_the_services_domain
 }
 
-# Size of the document and memory of the daemon: NAME SIZE WORKSPACES SERVICES
-# ROUTES KEYS.
+# Measures the size of the configuration document and the memory of the daemon:
+# NAME SIZE WORKSPACES SERVICES ROUTES KEYS.
 sample_document() {
   begin "document-$1-$2"
   start_daemons a 1 a
@@ -526,9 +528,10 @@
   done
 }
 
-# Processor time and bytes of one change at each of four daemons, and processor
-# time of a daemon's start until it is ready, by the size of the document. The
-# changes alternate between two sets of keys.
+# Measures, by the size of the document, the processor time and bytes of one
+# configuration change at each of four daemons, and the processor time of the
+# start of a daemon until it is ready. The changes alternate between two sets of
+# keys.
 measure_change() {
   local size i ticks bytes changes=10 address
   for size in 1000 2000 4000; do
@@ -564,7 +567,8 @@
   slope change_peer_bytes document_byte
 }
 
-# Writes to a route until an acknowledged write and prints the time: PORT ROUTE.
+# Retries a write to a route until it is acknowledged, then prints the time:
+# PORT ROUTE.
 time_of_write() {
   local body
   body="{\"route\":\"$2\",\"repeatable\":true,"
@@ -576,8 +580,8 @@
   printf '%s\n' "$EPOCHREALTIME"
 }
 
-# Longest time from the kill of all primaries to an acknowledged write of each
-# service, by the number of services.
+# Measures the longest time from the kill of all primaries to an acknowledged
+# write of each service, by the number of services.
 measure_failover() {
   local size i port routes killed waiters waiter
   for size in 1 3 6; do
@@ -614,9 +618,10 @@
   slope failover_gap service_with_killed_primary
 }
 
-# Longest time of five changes from before the plan until the change is in force
-# at the last daemon, by the number of daemons, from the daemons' events. Polling
-# the daemons instead took more processor time than the change itself.
+# Measures the longest propagation time of five configuration changes, from
+# before the plan until the change is in force at the last daemon, by the number
+# of daemons. Uses the daemons' events, because polling takes more processor
+# time than the change itself.
 measure_force() {
   local size version id
   for size in 2 4 8; do
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Runs real proxies under randomized faults, one run a seed:
+# Runs proxy processes with randomized fault injection, one run per seed:
 #   scripts/soak.sh [--no-build] [--regression] [--seeds N] [--first-seed S]
 #                   [--seconds T] [--daemons D] [--clients C]
-# --regression runs the seeds of scripts/soak-seeds.txt instead. Prints a line a
-# seed; exit code 0 only if every promise held. Logs of failed seeds are kept.
+# --regression runs the seeds of scripts/soak-seeds.txt instead. Prints one line
+# per seed and exits with 0 only if every guarantee held. Keeps the logs of
+# failed seeds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${CAMPHORFERRY_BUILD:-build}
--- a/scripts/summarize-measurements.sh
+++ b/scripts/summarize-measurements.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints a Markdown table, one row a fault, from the output of measure.sh:
+# Prints a Markdown table with one row per fault from the output of measure.sh:
 #   scripts/summarize-measurements.sh FILE
 set -euo pipefail
 awk '
--- a/scripts/sweep.sh
+++ b/scripts/sweep.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the property tests with new seeds for a number of seconds:
+# Runs the property tests with random seeds for a number of seconds:
 #   scripts/sweep.sh SECONDS
-# Prints each seed, and the shrunk case of any failure. Exit code 1 if a test
+# Prints each seed and the shrunk case of each failure. Exits with 1 if a test
 # failed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Installs what is needed, builds, and runs formatter, linter and all tests.
-# --quick leaves out the linter and the sanitizer build.
+# Installs the required packages, builds, checks the format and runs the linter
+# and all tests. --quick skips the linter and the sanitizer build.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-# Lets builds in other checkouts of the same sources share compiled objects.
+# Lets builds in other checkouts share the compiler cache.
 export CCACHE_BASEDIR=$PWD CCACHE_NOHASHDIR=1
 quick=false
 if [ "${1:-}" = --quick ]; then quick=true; fi
@@ -38,12 +38,12 @@
     xargs -P "$(nproc)" -n 2 clang-tidy -p build --quiet 2>/dev/null
 }
 
-# The tests of KNOWN-RED.txt as a regular expression; empty if there are none.
+# Prints the tests of KNOWN-RED.txt as a regular expression, or nothing.
 known_red() {
   sed -e '/^#/d' -e '/^$/d' -e 's/;.*//' KNOWN-RED.txt | paste -sd '|'
 }
 
-# Passes over the tests that are known to fail and prints them.
+# Runs the tests without those that are known to fail, which it prints.
 run_tests() {
   local red exclude=()
   red=$(known_red)
