--- a/Source/Soak/database_group.h
+++ b/Source/Soak/database_group.h
@@ -55,6 +55,7 @@
     std::string id;
     std::unique_ptr<platform::FakeDatabase> database;
     std::unique_ptr<TcpRelay> relay;
+    /// Identifiers of the commits in the log.
     std::set<std::string> commit_ids;
     bool down = false;
   };
@@ -80,6 +81,7 @@
   bool replicas_lag = false;
   bool lose_responses = false;
   unsigned statement_counter = 0;
+  /// True if the last commit has reached a replica and is to be acknowledged.
   bool commit_replicated = false;
   std::unique_ptr<connection::Timer> catch_up_timer;
 };
--- a/Source/Soak/guarantee_checker.h
+++ b/Source/Soak/guarantee_checker.h
@@ -85,7 +85,7 @@
     common::SteadyTime acknowledged_at;
   };
 
-  void Report(const std::string& promise, const std::string& detail);
+  void Report(const std::string& violation, const std::string& detail);
   void CheckFreshness(const SentStatement& sent, const ExecutedStatement& run);
   void CheckRateLimit(const SentStatement& sent, common::SteadyTime now);
 
--- a/Source/Soak/soak_client.cc
+++ b/Source/Soak/soak_client.cc
@@ -129,7 +129,7 @@
       this->context->key_revoked("key-" + this->workspace);
   if (begins_transaction) {
     this->in_transaction = true;
-    this->transaction_started = false;
+    this->transaction_counted = false;
     this->transaction_writes.clear();
     this->transaction_started_at = next.statement.sent;
   }
@@ -138,7 +138,7 @@
   const bool accesses_data = is_write || text.starts_with("READ");
   if (accesses_data && this->in_transaction) {
     next.statement.starts_operation =
-        !std::exchange(this->transaction_started, true);
+        !std::exchange(this->transaction_counted, true);
     // A write in a transaction is committed with the transaction but under its
     // own identifier.
     if (is_write) this->transaction_writes.push_back(next.statement.id);
--- a/Source/Soak/soak_client.h
+++ b/Source/Soak/soak_client.h
@@ -77,6 +77,8 @@
   void SendNextStatement();
   void OnLine(std::string_view line);
   void OnResponseComplete();
+  /// Ends the session because the connection has ended or no response arrived
+  /// in time; reports a pending statement as cut off.
   void Disconnect();
   void Close();
 
@@ -96,7 +98,9 @@
   /// Statements of the current operation that have not been sent yet.
   std::vector<std::string> remaining_statements;
   bool in_transaction = false;
-  bool transaction_started = false;
+  /// True once a statement of the transaction has counted against the rate
+  /// limit.
+  bool transaction_counted = false;
   common::SteadyTime transaction_started_at;
   std::vector<std::string> transaction_writes;
   std::optional<PendingStatement> pending;
--- a/Source/StandIns/database_core.cc
+++ b/Source/StandIns/database_core.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps the response to one pull well below the limit for an HTTP body.
+/// Keeps the response to one pull well below the size of a large HTTP body.
 constexpr std::size_t kMaxEntriesPerPull = 256;
 
 }  // namespace
--- a/Source/UnitTests/StandIns/database_core_test.cc
+++ b/Source/UnitTests/StandIns/database_core_test.cc
@@ -132,9 +132,9 @@
   const auto position =
       this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1)).position;
   const ReplicateRequest pull = this->replica.NextPull();
-  const ReplicateResult answer = this->primary.Replicate(pull);
+  const ReplicateResult response = this->primary.Replicate(pull);
   this->replica.Fence(2, "x");
-  this->replica.ApplyPull(pull, answer, kStart);
+  this->replica.ApplyPull(pull, response, kStart);
   EXPECT_EQ(this->replica.LogLength(), 0U);
   EXPECT_FALSE(this->replica.Confirm(position).held);
   EXPECT_EQ(this->replica.Confirm(position).fence, 2U);
@@ -314,9 +314,9 @@
 TEST_F(DatabaseCoreTest, ApplyPull_ResponseToOlderPull_IsIgnored) {
   this->ExecuteExpectingDone(&this->primary, Put(1, "k", 1));
   const ReplicateRequest pull = this->replica.NextPull();
-  const ReplicateResult answer = this->primary.Replicate(pull);
-  this->replica.ApplyPull(pull, answer, kStart);
-  this->replica.ApplyPull(pull, answer, kStart + std::chrono::seconds(1));
+  const ReplicateResult response = this->primary.Replicate(pull);
+  this->replica.ApplyPull(pull, response, kStart);
+  this->replica.ApplyPull(pull, response, kStart + std::chrono::seconds(1));
   EXPECT_EQ(this->replica.LogLength(), 2U);
   EXPECT_EQ(this->replica.Status(kStart).age, common::Duration::zero());
 }
--- a/Source/UnitTests/StandIns/database_messages_test.cc
+++ b/Source/UnitTests/StandIns/database_messages_test.cc
@@ -40,9 +40,9 @@
   ASSERT_TRUE(this->replica.Promote(2, "x"));
   ExecuteRequest repeat = message.request;
   repeat.term = 2;
-  const json answer =
+  const json response =
       ToJson(this->replica.Execute(repeat, common::SteadyTime()));
-  EXPECT_EQ(answer, json::parse(R"({"outcome":"done","results":[2],
+  EXPECT_EQ(response, json::parse(R"({"outcome":"done","results":[2],
       "position":[2,3],"term":2,"role":"primary","age_ms":0,
       "replayed":true})"));
 }
