--- /dev/null
+++ b/Source/Soak/tcp_relay.cc
@@ -0,0 +1,179 @@
+#include "tcp_relay.h"
+
+#include <event2/buffer.h>
+#include <event2/bufferevent.h>
+#include <event2/listener.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+
+#include <string>
+#include <utility>
+
+namespace camphorferry::soak {
+
+namespace {
+
+constexpr int kBacklog = 256;
+/// One-way delay of a delayed link, like that of a slow path between two
+/// regions.
+constexpr std::chrono::milliseconds kLinkDelay(120);
+
+/// Time after which the relay closes a connection whose end could not cross a
+/// cut link, as databases do with unresponsive peers.
+constexpr std::chrono::milliseconds kUnresponsivePeerTimeout(3000);
+
+}  // namespace
+
+/// One relayed connection.
+struct TcpRelay::RelayedConnection {
+  TcpRelay* relay = nullptr;
+  bufferevent* client = nullptr;
+  bufferevent* target = nullptr;
+  /// True once bytes have been dropped in this direction: all later bytes must
+  /// be dropped too, or the stream would be corrupt.
+  bool dropping_forward = false;
+  bool dropping_backward = false;
+  std::shared_ptr<bool> alive = std::make_shared<bool>(true);
+
+  ~RelayedConnection() {
+    *this->alive = false;
+    if (this->client != nullptr) bufferevent_free(this->client);
+    if (this->target != nullptr) bufferevent_free(this->target);
+  }
+};
+
+TcpRelay::TcpRelay(connection::EventLoop* loop,
+                   connection::SocketAddress target)
+    : loop(loop), target(std::move(target)) {
+  sockaddr_in address = connection::ToSystemAddress({"127.0.0.1", 0});
+  this->listener = evconnlistener_new_bind(
+      loop->Base(), OnAccept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
+      kBacklog, reinterpret_cast<sockaddr*>(&address), sizeof(address));
+  if (this->listener == nullptr) {
+    throw connection::ListenError({"127.0.0.1", 0});
+  }
+  this->port = connection::LocalPort(evconnlistener_get_fd(this->listener));
+}
+
+TcpRelay::~TcpRelay() {
+  *this->alive = false;
+  this->relayed_connections.clear();
+  evconnlistener_free(this->listener);
+}
+
+connection::SocketAddress TcpRelay::Address() const {
+  return {"127.0.0.1", this->port};
+}
+
+void TcpRelay::SetState(LinkState changed) {
+  this->state = changed;
+  if (changed == LinkState::kDown) this->ResetAll();
+}
+
+void TcpRelay::ResetAll() {
+  for (const auto& [raw, relayed] : this->relayed_connections) {
+    const linger reset{1, 0};
+    setsockopt(bufferevent_getfd(relayed->client), SOL_SOCKET, SO_LINGER,
+               &reset, sizeof(reset));
+  }
+  this->relayed_connections.clear();
+}
+
+void TcpRelay::OnAccept(evconnlistener* /*listener*/, int socket,
+                        sockaddr* /*address*/, int /*length*/, void* context) {
+  auto* relay = static_cast<TcpRelay*>(context);
+  if (relay->state == LinkState::kDown) {
+    evutil_closesocket(socket);
+    return;
+  }
+  auto relayed = std::make_unique<RelayedConnection>();
+  RelayedConnection* raw = relayed.get();
+  raw->relay = relay;
+  raw->client = bufferevent_socket_new(relay->loop->Base(), socket,
+                                       BEV_OPT_CLOSE_ON_FREE);
+  raw->target =
+      bufferevent_socket_new(relay->loop->Base(), -1, BEV_OPT_CLOSE_ON_FREE);
+  sockaddr_in address = connection::ToSystemAddress(relay->target);
+  relay->relayed_connections[raw] = std::move(relayed);
+  for (bufferevent* end : {raw->client, raw->target}) {
+    bufferevent_setcb(end, OnReadable, nullptr, OnEvent, raw);
+    bufferevent_enable(end, EV_READ | EV_WRITE);
+  }
+  bufferevent_socket_connect(raw->target, reinterpret_cast<sockaddr*>(&address),
+                             sizeof(address));
+}
+
+void TcpRelay::OnReadable(bufferevent* from, void* context) {
+  auto* relayed = static_cast<RelayedConnection*>(context);
+  relayed->relay->Forward(relayed, from == relayed->client);
+}
+
+void TcpRelay::Forward(RelayedConnection* relayed, bool forward) {
+  const bool cut = this->state == LinkState::kSilent ||
+                   this->state == (forward ? LinkState::kCutForward
+                                           : LinkState::kCutBackward);
+  bool& dropping =
+      forward ? relayed->dropping_forward : relayed->dropping_backward;
+  dropping = dropping || cut;
+  bufferevent* from = forward ? relayed->client : relayed->target;
+  evbuffer* input = bufferevent_get_input(from);
+  if (dropping) {
+    evbuffer_drain(input, evbuffer_get_length(input));
+    return;
+  }
+  if (this->state != LinkState::kDelayed) {
+    bufferevent_write_buffer(forward ? relayed->target : relayed->client,
+                             input);
+    return;
+  }
+  std::string bytes(evbuffer_get_length(input), '\0');
+  evbuffer_remove(input, bytes.data(), bytes.size());
+  this->loop->RunLater(
+      kLinkDelay, [relayed, relayed_alive = relayed->alive, forward, bytes] {
+        if (!*relayed_alive) return;
+        bufferevent_write(forward ? relayed->target : relayed->client,
+                          bytes.data(), bytes.size());
+      });
+}
+
+void TcpRelay::OnEvent(bufferevent* from, short what, void* context) {
+  if ((what & BEV_EVENT_CONNECTED) != 0) return;
+  auto* relayed = static_cast<RelayedConnection*>(context);
+  TcpRelay* relay = relayed->relay;
+  // Forwards the bytes that arrived before the end of the connection.
+  relay->Forward(relayed, from == relayed->client);
+  const bool end_is_dropped = from == relayed->client
+                                  ? relayed->dropping_forward
+                                  : relayed->dropping_backward;
+  if (end_is_dropped) {
+    // The end of a connection doesn't cross a cut link. The other side notices
+    // only by its timeout.
+    relay->loop->RunLater(kUnresponsivePeerTimeout,
+                          [relay, relayed, relayed_alive = relayed->alive] {
+                            if (*relayed_alive) relay->Close(relayed);
+                          });
+    return;
+  }
+  bufferevent* other =
+      from == relayed->client ? relayed->target : relayed->client;
+  if (evbuffer_get_length(bufferevent_get_output(other)) == 0) {
+    relay->Close(relayed);
+    return;
+  }
+  constexpr std::chrono::milliseconds kFlushDelay(50);
+  relay->loop->RunLater(kFlushDelay,
+                        [relay, relayed, relayed_alive = relayed->alive] {
+                          if (*relayed_alive) relay->Close(relayed);
+                        });
+}
+
+void TcpRelay::Close(RelayedConnection* relayed) {
+  const auto found = this->relayed_connections.find(relayed);
+  if (found == this->relayed_connections.end()) return;
+  // Deferred, because libevent may still execute a callback of this connection.
+  this->loop->Post([deferred = std::shared_ptr<RelayedConnection>(
+                        std::move(found->second))] {});
+  this->relayed_connections.erase(found);
+}
+
+}  // namespace camphorferry::soak
--- /dev/null
+++ b/Source/Soak/tcp_relay.h
@@ -0,0 +1,74 @@
+#ifndef CAMPHORFERRY_SOAK_TCP_RELAY_H_
+#define CAMPHORFERRY_SOAK_TCP_RELAY_H_
+
+#include <map>
+#include <memory>
+
+#include "Connection/connection.h"
+
+struct bufferevent;
+struct evconnlistener;
+struct sockaddr;
+
+namespace camphorferry::soak {
+
+/// Network condition that a relay simulates.
+enum class LinkState {
+  kOpen,
+  /// Bytes are delayed in both directions.
+  kDelayed,
+  /// Bytes to the target are dropped.
+  kCutForward,
+  /// Bytes from the target are dropped.
+  kCutBackward,
+  /// Bytes are dropped in both directions. New connections are accepted but get
+  /// no response.
+  kSilent,
+  /// Connections are reset; new ones are closed immediately.
+  kDown
+};
+
+/// TCP relay on a loopback address between a process and one of its peers. It
+/// injects network faults into the relayed connections.
+class TcpRelay {
+ public:
+  /// Listens on a loopback port that the operating system assigns. Throws
+  /// connection::ListenError.
+  TcpRelay(connection::EventLoop* loop, connection::SocketAddress target);
+  ~TcpRelay();
+  TcpRelay(const TcpRelay&) = delete;
+  TcpRelay& operator=(const TcpRelay&) = delete;
+
+  /// Address to which the process under test connects.
+  connection::SocketAddress Address() const;
+
+  /// Sets the network condition for open and new connections. Connections that
+  /// have lost bytes keep dropping them after the link is open again.
+  void SetState(LinkState changed);
+
+  /// Resets every open connection.
+  void ResetAll();
+
+ private:
+  struct RelayedConnection;
+
+  static void OnAccept(evconnlistener* listener, int socket, sockaddr* address,
+                       int length, void* context);
+  static void OnReadable(bufferevent* from, void* context);
+  static void OnEvent(bufferevent* from, short what, void* context);
+  void Forward(RelayedConnection* relayed, bool forward);
+  void Close(RelayedConnection* relayed);
+
+  connection::EventLoop* loop;
+  connection::SocketAddress target;
+  evconnlistener* listener = nullptr;
+  std::uint16_t port = 0;
+  LinkState state = LinkState::kOpen;
+  std::map<RelayedConnection*, std::unique_ptr<RelayedConnection>>
+      relayed_connections;
+  std::shared_ptr<bool> alive = std::make_shared<bool>(true);
+};
+
+}  // namespace camphorferry::soak
+
+#endif  // CAMPHORFERRY_SOAK_TCP_RELAY_H_
