--- a/Source/Core/Request/endpoint_role.h
+++ b/Source/Core/Request/endpoint_role.h
@@ -3,7 +3,7 @@
 
 namespace camphorferry::request {
 
-/// What a database says that it is in its group.
+/// Replication role that an endpoint reports for itself.
 enum class EndpointRole { kPrimary, kReplica };
 
 }  // namespace camphorferry::request
--- a/Source/Core/Request/fair_queue.h
+++ b/Source/Core/Request/fair_queue.h
@@ -17,50 +17,53 @@
 
 namespace camphorferry::request {
 
-/// Bounds of a fair queue.
+/// Capacity limits of a FairQueue.
 struct FairQueueLimits {
-  /// Requests of one workspace.
+  /// Most requests that one workspace may have waiting.
   std::size_t per_workspace = 64;
-  /// Requests of all workspaces.
+  /// Most requests that all workspaces together may have waiting.
   std::size_t total = 512;
 };
 
-/// Requests that wait for one endpoint, served by start-time fair queueing:
-/// while workspaces compete, each gets service in proportion to its weight,
-/// whatever the others send. T may be move-only.
+/// Queue of the requests that wait for one endpoint, scheduled by start-time
+/// fair queueing: workspaces with waiting requests are served in proportion to
+/// their weights, regardless of how many requests each of them sends. T may be
+/// move-only.
 ///
-/// The caller pops a request when it can start one and calls Completed when
-/// that request has ended in any way. It calls PopExpired at EarliestDeadline,
-/// so that requests are answered in time while the endpoint is stuck.
+/// The caller pops a request when the endpoint has a free slot and calls
+/// Completed when that request has ended, whatever its outcome. The caller also
+/// calls PopExpired at EarliestDeadline, so that expired requests are answered
+/// in time even if the endpoint has stopped completing requests.
 template <typename T>
 class FairQueue {
  public:
-  /// Left the queue without being started.
+  /// A request that was removed from the queue without being started.
   struct Shed {
     common::WorkspaceId workspace;
     T item;
     NotRun outcome;
   };
 
-  /// The request waits. If the queue was full, another one made room.
+  /// The request was queued. If the queue was full, another request was evicted
+  /// to make room for it.
   struct Queued {
     std::optional<Shed> evicted;
   };
 
-  /// The request was not queued.
+  /// The request was rejected and not queued.
   struct Refused {
     T item;
     NotRun outcome;
   };
 
-  /// The request whose turn it is.
+  /// The next request to start.
   struct Ready {
     common::WorkspaceId workspace;
     T item;
     common::Duration waited = common::Duration::zero();
   };
 
-  /// No request waits.
+  /// The queue holds no request.
   struct Empty {};
 
   using PushResult = std::variant<Queued, Refused>;
@@ -71,18 +74,20 @@
     this->SetSlots(slots);
   }
 
-  /// The index of deadlines points into the queues.
+  /// Not copyable, because the deadline index holds iterators into the flows.
   FairQueue(const FairQueue&) = delete;
   FairQueue& operator=(const FairQueue&) = delete;
 
-  /// Number of statements that the endpoint runs at a time; at least 1.
+  /// Sets the number of statements that the endpoint runs concurrently. A count
+  /// of 0 is raised to 1.
   void SetSlots(std::size_t count) {
     this->slots = std::max<std::size_t>(count, 1);
   }
 
-  /// Queues a request, unless its workspace's queue is full or it is expected
-  /// to wait beyond its deadline. When the total is reached, the workspace with
-  /// the longest queue relative to its weight loses its newest request.
+  /// Queues a request, unless its workspace's queue is full or the request is
+  /// expected to wait beyond its deadline. When the total limit is reached, the
+  /// newest request of the workspace with the longest queue relative to its
+  /// weight is evicted.
   PushResult Push(const common::WorkspaceId& workspace, std::uint32_t weight,
                   common::SteadyTime deadline, std::uint32_t cost, T item,
                   common::SteadyTime now) {
@@ -92,13 +97,13 @@
     if (this->QueueLength(workspace) >= this->limits.per_workspace) {
       return refused(NotRunReason::kQueueFull);
     }
-    // Compared with the time left, since a sum of times could overflow.
+    // Compares durations, because now + ExpectedWait could overflow.
     const bool in_time =
         deadline > now && this->ExpectedWait(workspace) <= deadline - now;
     if (!in_time) return refused(NotRunReason::kDeadlinePassed);
     Queued result;
     if (this->length >= this->limits.total) {
-      const auto victim = this->FindVictim(workspace, weight);
+      const auto victim = this->FindEvictionVictim(workspace, weight);
       if (victim == this->flows.end()) {
         return refused(NotRunReason::kQueueFull);
       }
@@ -111,39 +116,42 @@
     return result;
   }
 
-  /// The next request to start; an expired one comes out first, as shed.
+  /// Removes the next request to start. Expired requests are returned first, as
+  /// Shed.
   PopResult Pop(common::SteadyTime now) {
     std::optional<Shed> expired = this->PopExpired(now);
     if (expired.has_value()) return std::move(*expired);
-    const auto flow = this->FindNext();
+    const auto flow = this->FindNextFlow();
     if (flow == this->flows.end()) return Empty{};
     const auto entry = flow->second.entries.begin();
     Ready ready{flow->first, std::move(entry->item), now - entry->queued_at};
-    this->virtual_now = flow->second.next_start;
-    flow->second.next_start += entry->cost;
+    this->virtual_time = flow->second.next_start_tag;
+    flow->second.next_start_tag += entry->cost;
     ++this->running;
     this->Erase(flow, entry);
-    this->ForgetIdle();
+    this->DiscardIdleFlows();
     return ready;
   }
 
-  /// Removes one request whose deadline has passed, if there is one.
+  /// Removes the request with the earliest deadline if that has passed.
   std::optional<Shed> PopExpired(common::SteadyTime now) {
     const auto first = this->deadlines.begin();
     if (first == this->deadlines.end() || first->first.first > now) {
       return std::nullopt;
     }
-    const Place place = first->second;
-    return this->Remove(place.flow, place.entry, NotRunReason::kDeadlinePassed);
+    const EntryLocation location = first->second;
+    return this->Remove(location.flow, location.entry,
+                        NotRunReason::kDeadlinePassed);
   }
 
-  /// When PopExpired is due next, if any request waits.
+  /// Time at which PopExpired must be called next; none if the queue is empty.
   std::optional<common::SteadyTime> EarliestDeadline() const {
     if (this->deadlines.empty()) return std::nullopt;
     return this->deadlines.begin()->first.first;
   }
 
-  /// A popped request has ended; the time is how long the endpoint took.
+  /// Records that a popped request has ended. The service time is how long the
+  /// endpoint took to process it.
   void Completed(common::Duration service_time) {
     if (this->running > 0) --this->running;
     if (!this->service_time.has_value()) {
@@ -151,20 +159,21 @@
       return;
     }
     *this->service_time +=
-        (service_time - *this->service_time) / kServiceTimeSamples;
+        (service_time - *this->service_time) / kServiceTimeEwmaDivisor;
   }
 
-  /// How long a request of the workspace that is pushed now would wait. Counts
-  /// only requests whose turn comes before it, so that a workspace with a short
-  /// queue is not shed because of another one's long queue. Zero until the
-  /// first request has completed.
+  /// Estimates how long a request that the workspace pushes now would wait.
+  /// Counts only requests that would be served before it, so that a workspace
+  /// with a short queue is not refused because another one has a long queue.
+  /// Zero until the first request has completed.
   common::Duration ExpectedWait(const common::WorkspaceId& workspace) const {
-    const std::size_t before = this->running + this->CountBefore(workspace) + 1;
-    if (before <= this->slots || !this->service_time.has_value()) {
+    const std::size_t position =
+        this->running + this->CountAhead(workspace) + 1;
+    if (position <= this->slots || !this->service_time.has_value()) {
       return common::Duration::zero();
     }
     const auto rounds =
-        static_cast<common::Duration::rep>(before - this->slots);
+        static_cast<common::Duration::rep>(position - this->slots);
     return *this->service_time * rounds /
            static_cast<common::Duration::rep>(this->slots);
   }
@@ -178,8 +187,8 @@
     return flow == this->flows.end() ? 0 : flow->second.entries.size();
   }
 
-  /// Number of workspaces that memory is held for.
-  std::size_t KnownWorkspaces() const { return this->flows.size(); }
+  /// Number of workspaces that have a flow, including idle ones.
+  std::size_t TrackedWorkspaces() const { return this->flows.size(); }
 
  private:
   struct Entry {
@@ -191,41 +200,46 @@
   };
   using Entries = std::list<Entry>;
 
-  /// Queue of one workspace. The start tag of the first entry is kept here; the
-  /// others follow from the costs, so a removed entry costs nothing.
+  /// Queue of one workspace. Only the start tag of the first entry is stored.
+  /// Those of the others follow from the entries' costs, so a removed entry
+  /// does not use up any of the workspace's share.
   struct Flow {
     Entries entries;
     std::uint32_t weight = 1;
-    VirtualTime next_start = 0;
+    /// Start tag of the first entry, or finish tag of the last request if the
+    /// flow is idle.
+    VirtualTime next_start_tag = 0;
     VirtualTime queued_cost = 0;
   };
   using Flows = std::map<common::WorkspaceId, Flow>;
   using FlowIterator = typename Flows::iterator;
   using EntryIterator = typename Entries::iterator;
 
-  struct Place {
+  struct EntryLocation {
     FlowIterator flow;
     EntryIterator entry;
   };
 
-  /// Weight of the newest sample is one eighth: slow statements show after a
-  /// few samples, and a single one does not shed the queue.
-  static constexpr int kServiceTimeSamples = 8;
+  /// The mean service time is an exponentially weighted moving average whose
+  /// newest sample has a weight of 1/8. It follows slow statements within a few
+  /// samples, but a single slow statement does not cause the queue to be shed.
+  static constexpr int kServiceTimeEwmaDivisor = 8;
 
   void Append(const common::WorkspaceId& workspace, std::uint32_t weight,
               Entry entry) {
-    const auto place = this->flows.try_emplace(workspace).first;
-    Flow& flow = place->second;
+    const auto flow_iterator = this->flows.try_emplace(workspace).first;
+    Flow& flow = flow_iterator->second;
     flow.weight = ClampWeight(weight);
     if (flow.entries.empty()) {
-      // No credit for idle time, and no second turn for the one just served.
-      flow.next_start = std::max(flow.next_start, this->virtual_now);
+      // A workspace gets no credit for idle time, and one that was just served
+      // keeps the start tag that follows from its last request.
+      flow.next_start_tag = std::max(flow.next_start_tag, this->virtual_time);
     }
     flow.queued_cost += entry.cost;
     flow.entries.push_back(std::move(entry));
     const auto last = std::prev(flow.entries.end());
     this->deadlines.emplace(std::pair(last->deadline, last->sequence),
-                            Place{place, last});
+                            EntryLocation{flow_iterator, last});
     ++this->length;
   }
 
@@ -236,42 +250,45 @@
     return shed;
   }
 
-  void Erase(FlowIterator place, EntryIterator entry) {
-    Flow& flow = place->second;
+  void Erase(FlowIterator flow_iterator, EntryIterator entry) {
+    Flow& flow = flow_iterator->second;
     this->deadlines.erase(std::pair(entry->deadline, entry->sequence));
     flow.queued_cost -= entry->cost;
     flow.entries.erase(entry);
     --this->length;
     if (this->length == 0) {
-      // Nobody competes, so nobody has to be held back.
+      // Without waiting requests there is no contention, so no workspace needs
+      // to be delayed for the service that it has received.
       this->flows.clear();
-      this->virtual_now = 0;
+      this->virtual_time = 0;
       return;
     }
-    if (this->IsForgettable(flow)) this->flows.erase(place);
+    if (this->IsDiscardable(flow)) this->flows.erase(flow_iterator);
   }
 
-  /// An idle workspace is remembered until virtual time has reached the end of
-  /// its last request. Forgotten at once, it could push one request after each
-  /// pop and take every turn.
-  bool IsForgettable(const Flow& flow) const {
-    return flow.entries.empty() && flow.next_start <= this->virtual_now;
+  /// The flow of an idle workspace is kept until virtual time has reached the
+  /// finish tag of its last request. If it were discarded at once, a workspace
+  /// that pushes one request after each pop would always be served first.
+  bool IsDiscardable(const Flow& flow) const {
+    return flow.entries.empty() && flow.next_start_tag <= this->virtual_time;
   }
 
-  /// Bounds the idle workspaces by the same number as the waiting requests;
-  /// beyond it, the one that would be held back least is forgotten.
-  void ForgetIdle() {
+  /// Discards idle flows whose finish tag has been reached. Also limits the
+  /// other idle flows to limits.total by discarding the one with the smallest
+  /// finish tag, which loses the least accounting.
+  void DiscardIdleFlows() {
     std::size_t idle = 0;
     auto least = this->flows.end();
     for (auto flow = this->flows.begin(); flow != this->flows.end();) {
-      if (this->IsForgettable(flow->second)) {
+      if (this->IsDiscardable(flow->second)) {
         flow = this->flows.erase(flow);
         continue;
       }
       if (flow->second.entries.empty()) {
         ++idle;
-        const bool less = least == this->flows.end() ||
-                          flow->second.next_start < least->second.next_start;
+        const bool less =
+            least == this->flows.end() ||
+            flow->second.next_start_tag < least->second.next_start_tag;
         if (less) least = flow;
       }
       ++flow;
@@ -279,47 +296,49 @@
     if (idle > this->limits.total) this->flows.erase(least);
   }
 
-  /// The flow with the smallest start tag; the earlier request among equals.
-  FlowIterator FindNext() {
+  /// Finds the flow with the smallest start tag. Among equal tags, the request
+  /// that arrived first wins.
+  FlowIterator FindNextFlow() {
     auto next = this->flows.end();
-    const auto tag_of = [](const Flow& flow) {
-      return std::pair(flow.next_start, flow.entries.front().sequence);
+    const auto service_order = [](const Flow& flow) {
+      return std::pair(flow.next_start_tag, flow.entries.front().sequence);
     };
     for (auto flow = this->flows.begin(); flow != this->flows.end(); ++flow) {
       if (flow->second.entries.empty()) continue;
-      const bool first = next == this->flows.end() ||
-                         tag_of(flow->second) < tag_of(next->second);
+      const bool first =
+          next == this->flows.end() ||
+          service_order(flow->second) < service_order(next->second);
       if (first) next = flow;
     }
     return next;
   }
 
-  /// The flow with the longest queue relative to its weight, provided that it
-  /// exceeds what the pushing workspace's queue would become.
-  FlowIterator FindVictim(const common::WorkspaceId& workspace,
-                          std::uint32_t weight) {
+  /// Finds the flow with the longest queue relative to its weight, if that is
+  /// longer than the pushing workspace's queue would become.
+  FlowIterator FindEvictionVictim(const common::WorkspaceId& workspace,
+                                  std::uint32_t weight) {
     auto victim = this->flows.end();
-    std::uint64_t longest = this->QueueLength(workspace) + 1;
-    std::uint64_t its_weight = ClampWeight(weight);
+    std::uint64_t max_length = this->QueueLength(workspace) + 1;
+    std::uint64_t victim_weight = ClampWeight(weight);
     for (auto flow = this->flows.begin(); flow != this->flows.end(); ++flow) {
       if (flow->first == workspace) continue;
       const std::uint64_t queued = flow->second.entries.size();
-      if (queued * its_weight <= longest * flow->second.weight) continue;
+      if (queued * victim_weight <= max_length * flow->second.weight) continue;
       victim = flow;
-      longest = queued;
-      its_weight = flow->second.weight;
+      max_length = queued;
+      victim_weight = flow->second.weight;
     }
     return victim;
   }
 
-  /// Waiting requests whose turn comes before that of a request which the
+  /// Number of waiting requests that would be served before a request that the
   /// workspace pushes now.
-  std::size_t CountBefore(const common::WorkspaceId& workspace) const {
-    VirtualTime start = this->virtual_now;
+  std::size_t CountAhead(const common::WorkspaceId& workspace) const {
+    VirtualTime start = this->virtual_time;
     const auto own = this->flows.find(workspace);
     if (own != this->flows.end()) {
       const Flow& flow = own->second;
-      start = std::max(start, flow.next_start + flow.queued_cost);
+      start = std::max(start, flow.next_start_tag + flow.queued_cost);
     }
     std::size_t count = 0;
     for (const auto& [other, flow] : this->flows) {
@@ -327,11 +346,11 @@
         count += flow.entries.size();
         continue;
       }
-      if (flow.entries.empty() || flow.next_start > start) continue;
+      if (flow.entries.empty() || flow.next_start_tag > start) continue;
       const std::size_t queued = flow.entries.size();
       const VirtualTime mean_cost =
           std::max<VirtualTime>(flow.queued_cost / queued, 1);
-      const VirtualTime turns = (start - flow.next_start) / mean_cost + 1;
+      const VirtualTime turns = (start - flow.next_start_tag) / mean_cost + 1;
       count += std::min<VirtualTime>(queued, turns);
     }
     return count;
@@ -342,10 +361,13 @@
   std::size_t running = 0;
   std::size_t length = 0;
   std::uint64_t next_sequence = 0;
-  /// Start tag of the request that was popped last.
-  VirtualTime virtual_now = 0;
+  /// Virtual time: the start tag of the request that was popped last.
+  VirtualTime virtual_time = 0;
   Flows flows;
-  std::map<std::pair<common::SteadyTime, std::uint64_t>, Place> deadlines;
+  /// Index of the waiting requests by deadline and sequence number.
+  std::map<std::pair<common::SteadyTime, std::uint64_t>, EntryLocation>
+      deadlines;
+  /// Moving average; none until the first request has completed.
   std::optional<common::Duration> service_time;
 };
 
--- a/Source/Core/Request/idempotency_key.cc
+++ b/Source/Core/Request/idempotency_key.cc
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 using std::chrono::sys_seconds;
 
-// Eleven digits reach beyond the year 5000 and cannot overflow.
+// Eleven digits last beyond the year 5000 and cannot overflow 64 bits.
 constexpr std::size_t kMaxSecondsDigits = 11;
 constexpr std::string_view kRandomCharacters =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -37,8 +37,8 @@
 }
 
 /// Compares in whole seconds, because eleven digits of seconds overflow a
-/// 64-bit count of nanoseconds. Rounding up for the age and down for the lead
-/// keeps both limits exact.
+/// 64-bit count of nanoseconds. The current time is rounded up for the age and
+/// down for the lead, so that both limits are exact.
 void CheckAge(sys_seconds issued, common::WallTime now) {
   const seconds lead = issued - std::chrono::floor<seconds>(now);
   if (lead > kMaxIdempotencyKeyLead) throw IdempotencyKeyFromFutureError(lead);
@@ -73,8 +73,9 @@
 
 std::string OperationsDigest(const common::RouteId& route,
                              const Operations& operations) {
-  // CBOR writes lengths before texts and sorts object keys, so equal requests
-  // and only those have equal bytes. JSON text would throw on invalid UTF-8.
+  // The CBOR encoding is unambiguous: strings are length-prefixed and object
+  // keys are sorted, so only equal requests have equal bytes. Dumping JSON text
+  // would throw on invalid UTF-8.
   const nlohmann::json request = {route.Value(), OperationsToJson(operations)};
   const std::vector<std::uint8_t> bytes = nlohmann::json::to_cbor(request);
   return common::Sha256Hex(std::string(bytes.begin(), bytes.end()));
--- a/Source/Core/Request/idempotency_key.h
+++ b/Source/Core/Request/idempotency_key.h
@@ -11,7 +11,7 @@
 
 namespace camphorferry::request {
 
-/// Base of the errors that refuse an idempotency key.
+/// Base class of the errors for a rejected idempotency key.
 class BadIdempotencyKeyError : public common::Error {
  protected:
   using Error::Error;
@@ -23,7 +23,7 @@
   MalformedIdempotencyKeyError();
 };
 
-/// The key is so old that its record may be gone.
+/// The key is so old that its record may have been purged.
 class IdempotencyKeyExpiredError : public BadIdempotencyKeyError {
  public:
   explicit IdempotencyKeyExpiredError(std::chrono::seconds age);
@@ -35,7 +35,7 @@
   std::chrono::seconds age;
 };
 
-/// The key's issue time lies further in the future than clocks may differ.
+/// The key's issue time is further in the future than the accepted clock skew.
 class IdempotencyKeyFromFutureError : public BadIdempotencyKeyError {
  public:
   explicit IdempotencyKeyFromFutureError(std::chrono::seconds lead);
@@ -47,26 +47,27 @@
   std::chrono::seconds lead;
 };
 
-/// Greatest age of a key. Records are kept for 48 h, so a retry that is
-/// accepted always meets the record of its first attempt.
+/// Maximum age of a key. Records are kept for 48 h, so the record of the first
+/// attempt still exists for every retry that is accepted.
 inline constexpr std::chrono::hours kMaxIdempotencyKeyAge{24};
-/// How far a client's clock may run ahead.
+/// Maximum time by which a client's clock may be ahead.
 inline constexpr std::chrono::minutes kMaxIdempotencyKeyLead{5};
-/// The random part. Fewer than 8 characters would let clients of one workspace
-/// choose the same key within a second; 64 hold a hexadecimal SHA-256.
+/// Length of the random part in characters. With fewer than 8, clients of one
+/// workspace could choose the same key within a second; 64 are enough for a
+/// hexadecimal SHA-256 digest.
 inline constexpr std::size_t kMinIdempotencyRandomLength = 8;
 inline constexpr std::size_t kMaxIdempotencyRandomLength = 64;
 
-/// Names one request of a client over all its attempts. The form is
+/// Identifies one request of a client across all its attempts. The format is
 /// UNIXSECONDS-RANDOM: the issue time in 1 to 11 decimal digits without leading
 /// zeros, a hyphen, and 8 to 64 of the characters A-Z a-z 0-9 - _.
 class IdempotencyKey {
  public:
-  /// Throws an error derived from BadIdempotencyKeyError. A key exactly at one
-  /// of the limits of age is accepted.
+  /// Throws an error derived from BadIdempotencyKeyError. A key whose age or
+  /// lead is exactly at the limit is accepted.
   static IdempotencyKey Parse(std::string_view text, common::WallTime now);
 
-  /// The whole key, as it is recorded with the effect.
+  /// The whole key, as it is recorded in the transaction of the write.
   const std::string& Text() const { return this->text; }
 
   common::WallTime IssuedAt() const { return this->issued_at; }
@@ -79,8 +80,8 @@
   common::WallTime issued_at;
 };
 
-/// Digest that binds an idempotency key to one request: equal for the same
-/// route and operations, in lower-case hexadecimal digits.
+/// Digest that binds an idempotency key to one request: a function of route and
+/// operations only, in lower-case hexadecimal digits.
 std::string OperationsDigest(const common::RouteId& route,
                              const Operations& operations);
 
--- a/Source/Core/Request/operation.cc
+++ b/Source/Core/Request/operation.cc
@@ -10,7 +10,8 @@
 
 using nlohmann::json;
 
-/// Reads the fields of one operation and reports faults with its position.
+/// Reads the fields of one operation and throws BadOperationError with the
+/// position of the operation in the list.
 class FieldReader {
  public:
   FieldReader(const json& object, std::size_t index)
@@ -33,9 +34,9 @@
     if (!value.is_number_integer()) {
       this->Fail(OperationFault::kWrongType, name);
     }
-    // Conversion would wrap: 2^64 - 1 would be added as -1.
-    constexpr auto kMax = std::numeric_limits<std::int64_t>::max();
-    if (value.is_number_unsigned() && value.get<std::uint64_t>() > kMax) {
+    // Converting such a value would wrap around: 2^64 - 1 would become -1.
+    constexpr auto kMaxInt64 = std::numeric_limits<std::int64_t>::max();
+    if (value.is_number_unsigned() && value.get<std::uint64_t>() > kMaxInt64) {
       this->Fail(OperationFault::kOutOfRange, name);
     }
     return value.get<std::int64_t>();
@@ -49,7 +50,7 @@
     return *found;
   }
 
-  void AllowOnly(std::initializer_list<std::string_view> names) const {
+  void RejectFieldsExcept(std::initializer_list<std::string_view> names) const {
     for (const auto& [name, value] : this->object.items()) {
       bool known = name == "op";
       for (const std::string_view allowed : names) known |= name == allowed;
@@ -63,7 +64,7 @@
 };
 
 Operation ParseScan(const FieldReader& reader) {
-  reader.AllowOnly({"table", "prefix", "limit"});
+  reader.RejectFieldsExcept({"table", "prefix", "limit"});
   const std::int64_t limit = reader.Integer("limit");
   if (limit < 1 || limit > kMaxScanLimit) {
     reader.Fail(OperationFault::kOutOfRange, "limit");
@@ -77,19 +78,19 @@
   const std::string name = reader.Text("op");
   if (name == "scan") return ParseScan(reader);
   if (name == "get" || name == "delete") {
-    reader.AllowOnly({"table", "key"});
+    reader.RejectFieldsExcept({"table", "key"});
     const std::string table = reader.Text("table");
     const std::string key = reader.Text("key");
     if (name == "get") return GetOperation{table, key};
     return DeleteOperation{table, key};
   }
   if (name == "add") {
-    reader.AllowOnly({"table", "key", "amount"});
+    reader.RejectFieldsExcept({"table", "key", "amount"});
     return AddOperation{reader.Text("table"), reader.Text("key"),
                         reader.Integer("amount")};
   }
   if (name == "put" || name == "insert") {
-    reader.AllowOnly({"table", "key", "value"});
+    reader.RejectFieldsExcept({"table", "key", "value"});
     const std::string table = reader.Text("table");
     const std::string key = reader.Text("key");
     const json& value = reader.Required("value");
--- a/Source/Core/Request/operation.h
+++ b/Source/Core/Request/operation.h
@@ -11,7 +11,7 @@
 
 namespace camphorferry::request {
 
-/// Reads one record; the result is null if there is none.
+/// Reads one record; the result is null if the record does not exist.
 struct GetOperation {
   std::string table;
   std::string key;
@@ -24,21 +24,21 @@
   nlohmann::json value;
 };
 
-/// Adds to an integer record; an absent one counts as 0.
+/// Adds to an integer record; a missing record counts as 0.
 struct AddOperation {
   std::string table;
   std::string key;
   std::int64_t amount = 0;
 };
 
-/// Writes one record; the transaction conflicts if the key exists.
+/// Creates one record; the transaction fails with a conflict if the key exists.
 struct InsertOperation {
   std::string table;
   std::string key;
   nlohmann::json value;
 };
 
-/// Removes one record; removing an absent one is not an error.
+/// Removes one record; it is not an error if the record does not exist.
 struct DeleteOperation {
   std::string table;
   std::string key;
@@ -54,7 +54,7 @@
 using Operation = std::variant<GetOperation, PutOperation, AddOperation,
                                InsertOperation, DeleteOperation, ScanOperation>;
 
-/// The operations of one statement; applied whole or not at all.
+/// The operations of one statement; they are applied atomically.
 using Operations = std::vector<Operation>;
 
 /// What is wrong with an operation that could not be parsed.
@@ -70,14 +70,14 @@
   kOutOfRange,
 };
 
-/// An operation list was not well-formed.
+/// A list of operations was malformed.
 class BadOperationError : public common::Error {
  public:
   BadOperationError(OperationFault fault, std::size_t index,
                     const std::string& field);
 
   OperationFault Fault() const { return this->fault; }
-  /// Position of the faulty operation in the list.
+  /// Zero-based position of the faulty operation in the list.
   std::size_t Index() const { return this->index; }
 
  private:
@@ -85,18 +85,18 @@
   std::size_t index;
 };
 
-/// Largest number of operations in one statement.
+/// Maximum number of operations in one statement.
 inline constexpr std::size_t kMaxOperations = 64;
-/// Largest number of records that one scan returns.
+/// Maximum number of records that one scan returns.
 inline constexpr std::uint32_t kMaxScanLimit = 1000;
 
 /// Parses a JSON array of operations; throws BadOperationError.
 Operations ParseOperations(const nlohmann::json& list);
 
-/// The JSON form that ParseOperations reads.
+/// Converts operations to the JSON array that ParseOperations reads.
 nlohmann::json OperationsToJson(const Operations& operations);
 
-/// True if every operation only reads.
+/// True if no operation writes.
 bool IsReadOnly(const Operations& operations);
 
 }  // namespace camphorferry::request
--- a/Source/Core/Request/outcome.h
+++ b/Source/Core/Request/outcome.h
@@ -10,7 +10,8 @@
 
 namespace camphorferry::request {
 
-/// Why a request was not run. Each reason promises that it had no effect.
+/// Why a request was not run. Each reason guarantees that the request had no
+/// effect.
 enum class NotRunReason {
   kBadRequest,
   kBadSessionToken,
@@ -37,7 +38,7 @@
   kNoConfiguration,
 };
 
-/// Why it isn't known whether a request had an effect.
+/// Why it is not known whether a request had an effect.
 enum class UnknownReason {
   kConnectionLost,
   kNoAnswer,
@@ -49,7 +50,7 @@
   nlohmann::json results;
   common::LogPosition position;
   bool served_by_primary = false;
-  /// Age of the data at the latest; zero from a confirmed primary.
+  /// Upper bound of the age of the data; zero if a confirmed primary served it.
   common::Duration age = common::Duration::zero();
 };
 
@@ -59,7 +60,7 @@
   std::optional<common::Duration> retry_after;
 };
 
-/// The request may or may not have had its effect.
+/// The request may have had its effect, or may still have it.
 struct Unknown {
   UnknownReason reason = UnknownReason::kNoAnswer;
 };
@@ -67,19 +68,19 @@
 /// How a request ended.
 using Outcome = std::variant<Done, NotRun, Unknown>;
 
-/// Name of a reason in answers and logs, such as rate_exceeded.
+/// Name of a reason in responses and logs, such as rate_exceeded.
 std::string_view ReasonName(NotRunReason reason);
 std::string_view ReasonName(UnknownReason reason);
 
-/// Reverse of ReasonName.
+/// Inverse of ReasonName; none for an unknown name.
 std::optional<NotRunReason> NotRunReasonFromName(std::string_view name);
 std::optional<UnknownReason> UnknownReasonFromName(std::string_view name);
 
-/// HTTP status that goes with the outcome.
+/// HTTP status code of the response that reports the outcome.
 int HttpStatus(const Outcome& outcome);
 
 /// Body of the response to POST /v1/statement. Times are rounded up, so that
-/// data never seems fresher and a retry never comes earlier than meant.
+/// the reported age is never too small and no client retries too early.
 nlohmann::json OutcomeToJson(const Outcome& outcome,
                              std::string_view request_id);
 
--- a/Source/Core/Request/read_router.h
+++ b/Source/Core/Request/read_router.h
@@ -16,31 +16,32 @@
   common::FailureDomainId domain;
   common::RegionId region;
   EndpointRole role = EndpointRole::kReplica;
-  /// Last known position, and when it was learned; none if never.
+  /// Last known log position, and the time at which it was learned; no time if
+  /// the position was never learned.
   common::LogPosition position;
   std::optional<common::SteadyTime> position_learned;
   bool reachable = true;
-  /// A leaving endpoint gets no new work.
+  /// The endpoint is being removed from the service and gets no new requests.
   bool leaving = false;
 };
 
-/// Where the daemon that routes the read is.
+/// Location of the daemon that routes the read.
 struct ReadHome {
   common::FailureDomainId domain;
   common::RegionId region;
 };
 
-/// What a read asks for.
+/// Consistency that a read requires.
 struct ReadRequirement {
-  /// Last position that the session wrote or read in the service; the zero
-  /// position if it did neither.
+  /// Last log position that the session wrote or read in the service; zero if
+  /// the session has not used the service.
   common::LogPosition position;
-  /// Largest age of the data that the client accepts, if it stated one.
+  /// Maximum age of the data that the client accepts, if it set a limit.
   std::optional<common::Duration> max_age;
 };
 
-/// One endpoint to try, and how long it may wait for the session's position
-/// before it answers that it is lagging.
+/// One endpoint to try, and how long it may wait to catch up with the session's
+/// position before it answers that it is lagging.
 struct ReadCandidate {
   common::EndpointId endpoint;
   EndpointRole role = EndpointRole::kReplica;
@@ -49,58 +50,62 @@
   bool operator==(const ReadCandidate&) const = default;
 };
 
-/// A replica is asked to wait at most this long for the session's position.
-inline constexpr common::Duration kReplicaWait = std::chrono::milliseconds(50);
-
-/// Orders the endpoints for one read: replicas of the home domain and region
-/// that have the session's position, those that may reach it within the wait,
-/// then the replicas of other regions in the same order, and the primary last.
-/// A wait costs less than the slow link, which is billed by volume. The
-/// knowledge may be out of date without harm: each endpoint checks position and
-/// age itself, and one that refuses only costs the step to the next candidate.
+/// Maximum time that a replica waits to catch up with the session's position.
+inline constexpr common::Duration kMaxReplicaCatchUpWait =
+    std::chrono::milliseconds(50);
+
+/// Orders the endpoints of a service for one read: first the replicas in the
+/// daemon's own region that have reached the session's position, those in its
+/// own failure domain before the others; then those in its region that may
+/// catch up within the wait; then the replicas of other regions in the same
+/// order; and the primary last. Waiting costs less than the slow link between
+/// regions, which is billed by volume. Outdated information is safe: each
+/// endpoint checks position and age itself, and a refusal only costs an attempt
+/// before the next candidate is tried.
 class ReadRouter {
  public:
-  explicit ReadRouter(ReadHome home);
+  explicit ReadRouter(ReadHome location);
 
-  /// Candidates in the order in which to try them; empty if no endpoint may be
-  /// used. The spread distributes reads over equally good replicas.
+  /// Candidates in the order in which to try them; empty if no endpoint can be
+  /// used. Rotates the order of equally good replicas by the given number, so
+  /// that the caller can distribute reads over them.
   std::vector<ReadCandidate> Candidates(
       const std::vector<ReadEndpoint>& endpoints,
-      const ReadRequirement& requirement, std::uint64_t spread,
+      const ReadRequirement& requirement, std::uint64_t rotation,
       common::SteadyTime now) const;
 
  private:
-  /// Distance to the endpoint; nearer ones come first.
-  enum class Distance { kHomeDomain, kHomeRegion, kOtherRegion };
-
-  /// Whether a replica can serve the session's position.
-  enum class Readiness {
-    kHasPosition,
-    kMayReach,
-    /// It had not joined the position's term a moment ago.
+  /// Distance between the daemon and an endpoint, nearest first.
+  enum class Distance { kSameDomain, kSameRegion, kOtherRegion };
+
+  /// Whether a replica has replicated up to the session's position, best first.
+  enum class CatchUp {
+    kCaughtUp,
+    kPossible,
+    /// A recent report shows the replica in an older term than the position's.
     kUnlikely,
   };
 
   struct Ranked {
     const ReadEndpoint* endpoint = nullptr;
     Distance distance = Distance::kOtherRegion;
-    Readiness readiness = Readiness::kMayReach;
-    /// Place among replicas that are otherwise equal.
-    std::uint64_t turn = 0;
+    CatchUp catch_up = CatchUp::kPossible;
+    /// Rank among replicas that are otherwise equal.
+    std::uint64_t rotated_index = 0;
   };
 
-  /// Usable replicas from best to worst.
+  /// Usable replicas, best first.
   std::vector<Ranked> RankReplicas(const std::vector<ReadEndpoint>& endpoints,
                                    const ReadRequirement& requirement,
-                                   std::uint64_t spread,
+                                   std::uint64_t rotation,
                                    common::SteadyTime now) const;
   static bool ComesBefore(const Ranked& left, const Ranked& right);
   Distance DistanceOf(const ReadEndpoint& endpoint) const;
-  static Readiness ReadinessOf(const ReadEndpoint& endpoint,
-                               const ReadRequirement& requirement,
-                               common::SteadyTime now);
+  static CatchUp CatchUpOf(const ReadEndpoint& endpoint,
+                           const ReadRequirement& requirement,
+                           common::SteadyTime now);
 
-  ReadHome home;
+  ReadHome location;
 };
 
 }  // namespace camphorferry::request
--- a/Source/Core/Request/request.h
+++ b/Source/Core/Request/request.h
@@ -1,7 +1,8 @@
 #ifndef CAMPHORFERRY_REQUEST_REQUEST_H_
 #define CAMPHORFERRY_REQUEST_REQUEST_H_
 
-/// Public header of the Request library: what lives for one request.
+/// Public header of the Request library: types whose objects live as long as
+/// one request.
 
 #include "Request/endpoint_role.h"
 #include "Request/fair_queue.h"
--- a/Source/Core/Request/request_record.cc
+++ b/Source/Core/Request/request_record.cc
@@ -18,9 +18,9 @@
 constexpr char kIdempotencyHeader[] = "idempotency-key";
 constexpr char kMaxAgeHeader[] = "camphorferry-max-age-ms";
 constexpr char kRequestIdHeader[] = "request-id";
-// Nine digits are eleven days and cannot overflow a duration.
+// Nine digits of milliseconds are 11 days and cannot overflow a duration.
 constexpr std::size_t kMaxNumberDigits = 9;
-// Safe in log lines, headers and JSON without escapes.
+// Characters that need no escaping in log lines, headers and JSON.
 constexpr std::string_view kRequestIdCharacters =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_.:";
 
@@ -53,7 +53,7 @@
   return "invalid request";
 }
 
-/// A header's value, or null if it is absent.
+/// Returns the value of a header field, or null if it is missing.
 const std::string* Find(const HeaderFields& headers, const char* name) {
   const auto found = headers.find(name);
   return found == headers.end() ? nullptr : &found->second;
@@ -63,9 +63,9 @@
     const HeaderFields& headers, const char* name) {
   const std::string* text = Find(headers, name);
   if (text == nullptr) return std::nullopt;
-  const bool digits =
+  const bool only_digits =
       text->find_first_not_of("0123456789") == std::string::npos;
-  if (text->empty() || text->size() > kMaxNumberDigits || !digits) {
+  if (text->empty() || text->size() > kMaxNumberDigits || !only_digits) {
     throw BadRequestError(RequestFault::kNotANumber, name);
   }
   std::int64_t value = 0;
@@ -81,34 +81,34 @@
 
 common::SteadyTime ParseDeadline(const HeaderFields& headers,
                                  common::SteadyTime now) {
-  const auto asked = FindMilliseconds(headers, kDeadlineHeader);
-  if (!asked.has_value()) return now + kDefaultDeadline;
-  if (asked->count() == 0) {
+  const auto requested = FindMilliseconds(headers, kDeadlineHeader);
+  if (!requested.has_value()) return now + kDefaultDeadline;
+  if (requested->count() == 0) {
     throw BadRequestError(RequestFault::kOutOfRange, kDeadlineHeader);
   }
-  return now + std::min<common::Duration>(*asked, kMaxDeadline);
+  return now + std::min<common::Duration>(*requested, kMaxDeadline);
 }
 
 json ParseBody(std::string_view body) {
   if (body.size() > kMaxStatementBytes) {
     throw BadRequestError(RequestFault::kBodyTooLarge, "");
   }
-  const auto bound_depth = [](int depth, json::parse_event_t /*event*/,
+  const auto check_depth = [](int depth, json::parse_event_t /*event*/,
                               json& /*parsed*/) {
     if (depth <= kMaxStatementDepth) return true;
     throw BadRequestError(RequestFault::kTooDeep, "");
   };
   try {
-    json document = json::parse(body, bound_depth);
+    json document = json::parse(body, check_depth);
     if (document.is_object()) return document;
   } catch (const json::exception&) {
-    // Also thrown for numbers that no type holds.
+    // The parser also throws for numbers out of the range of every type.
     throw BadRequestError(RequestFault::kNotJson, "");
   }
   throw BadRequestError(RequestFault::kNotAnObject, "");
 }
 
-void AllowOnlyKnownFields(const json& document) {
+void RejectUnknownFields(const json& document) {
   for (const auto& [name, value] : document.items()) {
     const bool known =
         name == "route" || name == "operations" || name == "repeatable";
@@ -152,9 +152,9 @@
   return RequestClass::kUnrepeatableWrite;
 }
 
-template <typename Kind>
+template <typename ErrorType>
 bool Is(const common::Error& error) {
-  return dynamic_cast<const Kind*>(&error) != nullptr;
+  return dynamic_cast<const ErrorType*>(&error) != nullptr;
 }
 
 }  // namespace
@@ -173,7 +173,7 @@
     throw BadRequestError(RequestFault::kBadRequestId, kRequestIdHeader);
   }
   const json document = ParseBody(body);
-  AllowOnlyKnownFields(document);
+  RejectUnknownFields(document);
 
   RequestRecord record;
   record.request_id = RequestIdOrGenerated(headers, generated_request_id);
--- a/Source/Core/Request/request_record.h
+++ b/Source/Core/Request/request_record.h
@@ -16,8 +16,8 @@
 
 namespace camphorferry::request {
 
-/// What is wrong with a statement request, apart from its operations and its
-/// idempotency key, which have errors of their own.
+/// What is wrong with a statement request, except for its operations and its
+/// idempotency key, which have their own error classes.
 enum class RequestFault {
   kBodyTooLarge,
   kTooDeep,
@@ -32,7 +32,7 @@
   kBadRequestId,
 };
 
-/// A statement request was not well-formed.
+/// A statement request was malformed.
 class BadRequestError : public common::Error {
  public:
   BadRequestError(RequestFault fault, const std::string& field);
@@ -43,23 +43,25 @@
   RequestFault fault;
 };
 
-/// Header names in lower case and their values.
+/// HTTP header fields by lower-case name.
 using HeaderFields = std::map<std::string, std::string>;
 
-/// Largest body; below the HTTP server's bound of 1 MB, so that a client gets a
-/// typed refusal.
+/// Maximum size of a body. Less than the HTTP server's limit of 1 MB, so that
+/// the client gets a response with a reason.
 inline constexpr std::size_t kMaxStatementBytes = 256 * 1024;
-/// Levels of nesting in a body. Three are the statement's own; JSON is written
-/// out recursively, so a value must not be deep.
+/// Maximum nesting depth of a body. The statement itself uses three levels.
+/// JSON is serialized recursively, so an unlimited depth could exhaust the
+/// stack.
 inline constexpr int kMaxStatementDepth = 32;
 inline constexpr std::chrono::milliseconds kDefaultDeadline{5000};
-/// A graceful shutdown takes up to 30 s and waits for running requests.
+/// A graceful shutdown waits for running requests for up to 30 s, so a request
+/// must end before that.
 inline constexpr std::chrono::seconds kMaxDeadline{25};
 inline constexpr std::size_t kMaxRequestIdLength = 128;
 inline constexpr std::size_t kMaxRouteLength = 128;
 
-/// A client's statement as it runs through a daemon. Never holds the client's
-/// key, so no later step can pass it on.
+/// A client's statement request while a daemon processes it. It never holds the
+/// client's API key, so no later step can forward or log the key.
 struct RequestRecord {
   common::RouteId route;
   Operations operations;
@@ -67,28 +69,28 @@
   common::SteadyTime deadline;
   /// Session token as the client sent it; empty if it sent none.
   std::string session;
-  /// Set for writes only; a read needs no record to be repeated.
+  /// Set for writes only; a read can be repeated without a record.
   std::optional<IdempotencyKey> idempotency_key;
-  /// Digest for the idempotency key; empty without one.
+  /// OperationsDigest of the request; empty without an idempotency key.
   std::string operations_digest;
   std::optional<common::Duration> max_age;
   std::string request_id;
 
-  /// Parses POST /v1/statement. The generated request id is used if the client
-  /// sent none. Throws BadRequestError, BadOperationError, or an error derived
-  /// from BadIdempotencyKeyError.
+  /// Parses the request POST /v1/statement. Uses the generated request id if
+  /// the client sent none. Throws BadRequestError, BadOperationError, or an
+  /// error derived from BadIdempotencyKeyError.
   static RequestRecord Parse(const HeaderFields& headers, std::string_view body,
                              std::string_view generated_request_id,
                              common::SteadyTime now, common::WallTime wall_now);
 };
 
 /// Request id for the response to a request that may be malformed: the client's
-/// if it is well-formed, the generated one otherwise.
+/// id if it is valid, otherwise the generated one.
 std::string RequestIdOrGenerated(const HeaderFields& headers,
                                  std::string_view generated_request_id);
 
-/// Reason with which a request is refused because of an error of this library;
-/// nothing if the error is not the request's fault.
+/// Reason to report for a request that failed with an error of this library;
+/// none if the error was not caused by the request.
 std::optional<NotRunReason> RefusalReason(const common::Error& error);
 
 }  // namespace camphorferry::request
--- a/Source/Core/Request/retry_budget.h
+++ b/Source/Core/Request/retry_budget.h
@@ -7,38 +7,41 @@
 
 namespace camphorferry::request {
 
-/// Bounds the retries of one route, so that a fault at its endpoints does not
-/// multiply the load on them. In any window the retries are at most 10% of the
-/// requests, plus 3 a second, plus kMaxSavedRetries.
+/// Token bucket that limits the retries of one route, so that a fault of its
+/// endpoints does not multiply the load on them. In any time window, the number
+/// of retries is at most 10% of the requests, plus 3 per second, plus
+/// kMaxRetryBurst.
 class RetryBudget {
  public:
-  /// Starts with one second's retries, so that a fault right after the start of
-  /// a daemon does not refuse its first requests.
+  /// Starts with the retries of one second, so that the first requests of a
+  /// daemon can be retried if a fault occurs right after its start.
   explicit RetryBudget(common::SteadyTime now);
 
-  /// Counts a request's first attempt.
+  /// Adds the retries that a new request earns. Call once for each request.
   void RequestStarted();
 
-  /// Takes one retry; false, with nothing taken, if none is left.
-  bool TryTake(common::SteadyTime now);
+  /// Consumes one retry and returns true; returns false if none is left.
+  bool TryConsume(common::SteadyTime now);
 
  private:
-  /// Billionths of a retry, because 3 a second is 3 billionths a nanosecond.
+  /// In billionths of a retry, so that the refill of 3 retries per second is
+  /// the integer 3 per nanosecond.
   using Credit = std::int64_t;
 
-  void Add(Credit earned);
+  void AddCredit(Credit earned);
 
   Credit credit;
-  common::SteadyTime counted_until;
+  common::SteadyTime last_refill;
 };
 
-/// Retries earned by each request are one tenth.
+/// Each request earns the reciprocal of this number of retries.
 inline constexpr int kRequestsPerRetry = 10;
-/// Retries earned by time, so that a quiet route can retry at all.
+/// Refill rate, so that a route with few requests can retry as well.
 inline constexpr int kRetriesPerSecond = 3;
-/// Bound of the saving: the queue of one workspace at one endpoint holds 64
-/// requests, and they fail together when its owner stops.
-inline constexpr int kMaxSavedRetries = 64;
+/// Capacity of the bucket in retries. The queue of one workspace at one
+/// endpoint holds 64 requests, which all fail at once when the daemon that owns
+/// the endpoint stops.
+inline constexpr int kMaxRetryBurst = 64;
 
 }  // namespace camphorferry::request
 
--- a/Source/Core/Request/retry_policy.cc
+++ b/Source/Core/Request/retry_policy.cc
@@ -9,7 +9,7 @@
 
 using common::Duration;
 
-/// True for refusals that another attempt may not meet.
+/// True for refusals that may not recur on another attempt.
 bool IsTransient(NotRunReason reason) {
   switch (reason) {
     case NotRunReason::kQueueFull:
@@ -41,18 +41,18 @@
   return false;
 }
 
-/// True if the endpoint itself is busy, not the wrong one.
+/// True if the endpoint is the right one but overloaded.
 bool IsOverload(NotRunReason reason) {
   return reason == NotRunReason::kQueueFull ||
          reason == NotRunReason::kTooManyConnections;
 }
 
 /// True if the refusal also proves that no earlier attempt under the same key
-/// has run or will run. A mismatch does: the key's record belongs to another
-/// request for as long as it is kept. A conflict does not: it writes no record,
-/// so an earlier attempt that is still on its way can run once the conflicting
-/// row is gone.
-bool SettlesEarlierAttempts(RequestClass request_class, NotRunReason reason) {
+/// has run or will run. A mismatch proves it, because the key's record belongs
+/// to another request for as long as the record is kept. A conflict does not:
+/// it writes no record, so an earlier attempt that is still in flight can run
+/// once the conflicting row has been deleted.
+bool RulesOutEarlierEffects(RequestClass request_class, NotRunReason reason) {
   return request_class == RequestClass::kKeyedWrite &&
          reason == NotRunReason::kIdempotencyMismatch;
 }
@@ -64,10 +64,10 @@
 }
 
 Duration WithJitter(Duration delay, double jitter) {
-  // The comparison is false for a value that is not a number, too.
-  const double share = jitter >= 0.0 ? std::min(jitter, 1.0) : 0.0;
+  // The comparison is also false for NaN.
+  const double fraction = jitter >= 0.0 ? std::min(jitter, 1.0) : 0.0;
   const auto half = static_cast<double>(delay.count()) / 2.0;
-  return Duration(static_cast<Duration::rep>(half + half * share));
+  return Duration(static_cast<Duration::rep>(half + half * fraction));
 }
 
 }  // namespace
@@ -80,36 +80,37 @@
                                   double jitter, RetryBudget& budget) {
   ++this->attempts;
   if (const auto* unknown = std::get_if<Unknown>(&outcome)) {
-    this->unsettled = *unknown;
+    this->last_unknown = *unknown;
   }
-  if (!this->MayRepeat(outcome)) {
-    return Report{this->Reported(std::move(outcome))};
+  if (!this->MayRetry(outcome)) {
+    return Report{this->OutcomeToReport(std::move(outcome))};
   }
   const Duration delay = this->DelayFor(outcome, jitter);
   const bool in_time = delay < this->deadline - now;
-  if (!in_time || !budget.TryTake(now)) {
-    return Report{this->Reported(std::move(outcome))};
+  if (!in_time || !budget.TryConsume(now)) {
+    return Report{this->OutcomeToReport(std::move(outcome))};
   }
-  return RetryAfter{delay, this->ShouldChooseAnother(outcome)};
+  return RetryAfter{delay, this->ShouldChooseAnotherEndpoint(outcome)};
 }
 
-bool RetryPolicy::MayRepeat(const Outcome& outcome) const {
-  const bool once = this->request_class == RequestClass::kUnrepeatableWrite;
-  if (once && this->unsettled.has_value()) return false;
-  const common::Overloaded repeatable{
+bool RetryPolicy::MayRetry(const Outcome& outcome) const {
+  const bool at_most_once =
+      this->request_class == RequestClass::kUnrepeatableWrite;
+  if (at_most_once && this->last_unknown.has_value()) return false;
+  const common::Overloaded may_retry{
       [](const Done& /*done*/) { return false; },
       [this](const NotRun& not_run) {
-        // Shed because of one replica's queue; another one's may be shorter.
+        // One replica's queue was too long; that of another may be shorter.
         if (not_run.reason == NotRunReason::kDeadlinePassed) {
           return this->request_class == RequestClass::kRead;
         }
         return IsTransient(not_run.reason);
       },
       [](const Unknown& /*unknown*/) { return true; }};
-  return std::visit(repeatable, outcome);
+  return std::visit(may_retry, outcome);
 }
 
-bool RetryPolicy::ShouldChooseAnother(const Outcome& outcome) const {
+bool RetryPolicy::ShouldChooseAnotherEndpoint(const Outcome& outcome) const {
   if (this->request_class == RequestClass::kRead) return true;
   const auto* not_run = std::get_if<NotRun>(&outcome);
   return not_run == nullptr || !IsOverload(not_run->reason);
@@ -122,13 +123,13 @@
   return std::max(delay, not_run->retry_after.value_or(Duration::zero()));
 }
 
-Outcome RetryPolicy::Reported(Outcome outcome) const {
+Outcome RetryPolicy::OutcomeToReport(Outcome outcome) const {
   const auto* not_run = std::get_if<NotRun>(&outcome);
-  if (not_run == nullptr || !this->unsettled.has_value()) return outcome;
-  if (SettlesEarlierAttempts(this->request_class, not_run->reason)) {
+  if (not_run == nullptr || !this->last_unknown.has_value()) return outcome;
+  if (RulesOutEarlierEffects(this->request_class, not_run->reason)) {
     return outcome;
   }
-  return *this->unsettled;
+  return *this->last_unknown;
 }
 
 }  // namespace camphorferry::request
--- a/Source/Core/Request/retry_policy.h
+++ b/Source/Core/Request/retry_policy.h
@@ -11,47 +11,49 @@
 
 namespace camphorferry::request {
 
-/// How far a request may be repeated.
+/// Whether and how a request may be repeated.
 enum class RequestClass {
   kRead,
-  /// A write whose idempotency record is written with its effect.
+  /// A write with an idempotency key, whose record is committed together with
+  /// the effect of the write.
   kKeyedWrite,
-  /// A write without a key that the client declares as repeatable.
+  /// A write without a key that the client declared repeatable.
   kRepeatableWrite,
-  /// A write that may run at most once and has no key.
+  /// A write without a key that must run at most once.
   kUnrepeatableWrite,
 };
 
 /// Make another attempt after the delay.
 struct RetryAfter {
   common::Duration delay = common::Duration::zero();
-  /// Choose the endpoint anew: another candidate for a read, and for a write
-  /// the primary that is known by then.
+  /// Select the endpoint again: the next candidate for a read, or the primary
+  /// that is known at that time for a write.
   bool choose_another_endpoint = false;
 };
 
-/// Give this outcome to the client.
+/// Make no further attempt and report this outcome to the client.
 struct Report {
   Outcome outcome;
 };
 
 using RetryDecision = std::variant<RetryAfter, Report>;
 
-/// Delay before the second attempt; doubles with each further one.
+/// Delay before the second attempt; it doubles with each further attempt.
 inline constexpr std::chrono::milliseconds kFirstRetryDelay{5};
-/// Longest delay, short against the second that a promotion takes.
+/// Maximum delay; short compared with the second that a promotion takes.
 inline constexpr std::chrono::milliseconds kMaxRetryDelay{200};
 
-/// Decides after each attempt of one request whether to repeat it. An outcome
-/// is reported as not run only if no attempt can have had or can still get an
-/// effect; so the policy remembers an unknown attempt for the whole request.
+/// Decides after each attempt of one request whether to repeat it. The request
+/// is reported as not run only if no attempt has had or can still have an
+/// effect. For that, the policy remembers an attempt with an unknown outcome
+/// until the request ends.
 class RetryPolicy {
  public:
   RetryPolicy(RequestClass request_class, common::SteadyTime deadline);
 
-  /// Takes the outcome of the attempt that just ended. Jitter is between 0 and
-  /// 1 and spreads the delay over its upper half. Takes from the budget only
-  /// for a retry.
+  /// Decides after an attempt that ended with the outcome. Jitter is a random
+  /// number from 0 to 1 that distributes the delay over its upper half.
+  /// Consumes a retry of the budget only if the decision is to retry.
   RetryDecision Decide(Outcome outcome, common::SteadyTime now, double jitter,
                        RetryBudget& budget);
 
@@ -59,16 +61,17 @@
   int Attempts() const { return this->attempts; }
 
  private:
-  bool MayRepeat(const Outcome& outcome) const;
-  bool ShouldChooseAnother(const Outcome& outcome) const;
+  bool MayRetry(const Outcome& outcome) const;
+  bool ShouldChooseAnotherEndpoint(const Outcome& outcome) const;
   common::Duration DelayFor(const Outcome& outcome, double jitter) const;
-  Outcome Reported(Outcome outcome) const;
+  Outcome OutcomeToReport(Outcome outcome) const;
 
   RequestClass request_class;
   common::SteadyTime deadline;
   int attempts = 0;
-  /// The latest attempt that may have had, or may still get, its effect.
-  std::optional<Unknown> unsettled;
+  /// Outcome of the latest attempt that may have had or may still have its
+  /// effect.
+  std::optional<Unknown> last_unknown;
 };
 
 }  // namespace camphorferry::request
--- a/Source/Core/Request/session_token.cc
+++ b/Source/Core/Request/session_token.cc
@@ -12,21 +12,22 @@
 using common::WorkspaceId;
 
 // Body: version, workspace, number of services, then service, term and index
-// of each in ascending order of service. Texts carry their length, and the
-// signature covers the whole body, so moving a field boundary breaks it.
+// of each in ascending order of service. Strings are length-prefixed and the
+// signature covers the whole body, so shifting a field boundary invalidates it.
 constexpr char kFormatVersion = 1;
 constexpr std::size_t kSignatureBytes = 32;
 constexpr std::size_t kMaxVarintBytes = 10;
 constexpr int kVarintBits = 7;
-constexpr std::uint8_t kVarintMore = 0x80;
-constexpr std::uint8_t kVarintMask = 0x7f;
-// Four characters of base64 hold three bytes.
+constexpr std::uint8_t kVarintContinuationBit = 0x80;
+constexpr std::uint8_t kVarintValueMask = 0x7f;
+// Base64 encodes three bytes as four characters.
 constexpr std::size_t kMaxBodyBytes =
     kMaxSessionTextLength / 4 * 3 - kSignatureBytes;
 
 void AppendVarint(std::uint64_t value, std::string* data) {
-  while (value > kVarintMask) {
-    data->push_back(static_cast<char>(kVarintMore | (value & kVarintMask)));
+  while (value > kVarintValueMask) {
+    data->push_back(
+        static_cast<char>(kVarintContinuationBit | (value & kVarintValueMask)));
     value >>= kVarintBits;
   }
   data->push_back(static_cast<char>(value));
@@ -37,16 +38,16 @@
   data->append(text);
 }
 
-std::size_t LargestTextSize(const std::string& text) {
+std::size_t MaxTextSize(const std::string& text) {
   return kMaxVarintBytes + text.size();
 }
 
-std::size_t LargestEntrySize(const ServiceId& service) {
-  return LargestTextSize(service.Value()) + 2 * kMaxVarintBytes;
+std::size_t MaxEntrySize(const ServiceId& service) {
+  return MaxTextSize(service.Value()) + 2 * kMaxVarintBytes;
 }
 
-/// Reads the fields of a body. Only the form that Encode writes is accepted, so
-/// each token has one text.
+/// Reads the fields of a body. Accepts only the canonical encoding that Encode
+/// writes, so that each token has exactly one text.
 class BodyReader {
  public:
   explicit BodyReader(std::string_view rest) : rest(rest) {}
@@ -62,10 +63,10 @@
     std::uint64_t value = 0;
     for (int shift = 0; shift < 64; shift += kVarintBits) {
       const std::uint8_t byte = this->Byte();
-      const std::uint64_t part = byte & kVarintMask;
+      const std::uint64_t part = byte & kVarintValueMask;
       if (part << shift >> shift != part) Fail();
       value |= part << shift;
-      if ((byte & kVarintMore) != 0) continue;
+      if ((byte & kVarintContinuationBit) != 0) continue;
       const bool padded = part == 0 && shift > 0;
       if (padded) Fail();
       return value;
@@ -95,7 +96,7 @@
               const SessionSecrets& secrets) {
   bool valid = false;
   for (const std::string& secret : secrets) {
-    // Anyone can compute the signature of an empty secret.
+    // Anyone can compute a signature with an empty secret.
     if (secret.empty()) continue;
     const std::string expected = common::HmacSha256(secret, body);
     valid |= common::EqualConstantTime(expected, signature);
@@ -132,9 +133,9 @@
 
 SessionToken::SessionToken(WorkspaceId workspace)
     : workspace(std::move(workspace)),
-      largest_body(sizeof(kFormatVersion) +
-                   LargestTextSize(this->workspace.Value()) + kMaxVarintBytes) {
-  if (this->largest_body > kMaxBodyBytes) throw SessionTooWideError(0);
+      max_body_size(sizeof(kFormatVersion) +
+                    MaxTextSize(this->workspace.Value()) + kMaxVarintBytes) {
+  if (this->max_body_size > kMaxBodyBytes) throw SessionTooWideError(0);
 }
 
 SessionToken SessionToken::Decode(std::string_view text,
@@ -195,13 +196,13 @@
     if (found->second < position) found->second = position;
     return;
   }
-  const std::size_t body = this->largest_body + LargestEntrySize(service);
+  const std::size_t body_size = this->max_body_size + MaxEntrySize(service);
   const bool full = this->positions.size() >= kMaxSessionServices;
-  if (full || body > kMaxBodyBytes) {
+  if (full || body_size > kMaxBodyBytes) {
     throw SessionTooWideError(this->positions.size());
   }
   this->positions.emplace(service, position);
-  this->largest_body = body;
+  this->max_body_size = body_size;
 }
 
 LogPosition SessionToken::PositionOf(const ServiceId& service) const {
--- a/Source/Core/Request/session_token.h
+++ b/Source/Core/Request/session_token.h
@@ -11,7 +11,7 @@
 
 namespace camphorferry::request {
 
-/// Why a session token was refused.
+/// Why a session token was rejected.
 enum class SessionTokenFault {
   kMalformed,
   kWrongSignature,
@@ -19,7 +19,7 @@
   kTooLong,
 };
 
-/// A client sent a session token that this workspace may not use.
+/// A client sent a session token that is invalid for its workspace.
 class BadSessionTokenError : public common::Error {
  public:
   explicit BadSessionTokenError(SessionTokenFault fault);
@@ -30,54 +30,55 @@
   SessionTokenFault fault;
 };
 
-/// A session has used more services than its token can hold.
+/// A session uses more services than fit into its token.
 class SessionTooWideError : public common::Error {
  public:
   explicit SessionTooWideError(std::size_t services);
 
-  /// Number of services that the token held already.
+  /// Number of services in the token before the failed addition.
   std::size_t Services() const { return this->services; }
 
  private:
   std::size_t services;
 };
 
-/// A token was to be signed, but no secret is set or the first one is empty.
+/// A token cannot be signed, because there is no secret or the first one is
+/// empty.
 class MissingSessionSecretError : public common::Error {
  public:
   MissingSessionSecretError();
 };
 
-/// Secrets for signing; the first one signs, all verify, so that a secret can
-/// be replaced while old tokens are still in use.
+/// Secrets for signatures. The first one signs and all of them verify, so that
+/// a secret can be replaced while old tokens are still in use.
 using SessionSecrets = std::vector<std::string>;
 
-/// Largest number of services in one token.
+/// Maximum number of services in one token.
 inline constexpr std::size_t kMaxSessionServices = 32;
-/// Largest length of a token's text; fits in common limits for HTTP headers.
+/// Maximum length of an encoded token; below the usual limits for HTTP headers.
 inline constexpr std::size_t kMaxSessionTextLength = 4096;
 
-/// The last position that a session wrote or read at each service. Travels with
-/// the client, so that any daemon can serve the session's own writes without a
-/// shared table.
+/// The last log position that a session wrote or read in each service. The
+/// client sends it with each request, so that every daemon can provide
+/// read-your-writes consistency without a session table shared between daemons.
 class SessionToken {
  public:
-  /// Starts a session. Throws SessionTooWideError if the workspace's id alone
-  /// fills a token.
+  /// Starts a session. Throws SessionTooWideError if the workspace's id is too
+  /// long for a token.
   explicit SessionToken(common::WorkspaceId workspace);
 
-  /// Reads a token that Encode wrote for the same workspace; throws
+  /// Decodes a token that Encode created for the same workspace. Throws
   /// BadSessionTokenError.
   static SessionToken Decode(std::string_view text,
                              const SessionSecrets& secrets,
                              const common::WorkspaceId& workspace);
 
-  /// Text for the client, at most kMaxSessionTextLength long; throws
-  /// MissingSessionSecretError.
+  /// Returns the signed text for the client, at most kMaxSessionTextLength
+  /// characters long. Throws MissingSessionSecretError.
   std::string Encode(const SessionSecrets& secrets) const;
 
-  /// Raises the service's position; an earlier position changes nothing. Throws
-  /// SessionTooWideError, leaving the token as it was, if the service is new
+  /// Raises the service's position; an earlier position has no effect. Throws
+  /// SessionTooWideError and leaves the token unchanged if the service is new
   /// and does not fit.
   void Advance(const common::ServiceId& service, common::LogPosition position);
 
@@ -91,8 +92,8 @@
  private:
   common::WorkspaceId workspace;
   std::map<common::ServiceId, common::LogPosition> positions;
-  /// Upper bound of the encoded body's size, whatever the positions are.
-  std::size_t largest_body;
+  /// Upper bound of the encoded body's size in bytes for any positions.
+  std::size_t max_body_size;
 };
 
 }  // namespace camphorferry::request
--- a/Source/UnitTests/Core/Request/fair_queue_test.cc
+++ b/Source/UnitTests/Core/Request/fair_queue_test.cc
@@ -31,20 +31,20 @@
 using Queue = FairQueue<int>;
 
 const SteadyTime kStart{seconds(1000)};
-constexpr Duration kPatience = seconds(5);
-constexpr double kFairShare = 0.98;
+constexpr Duration kRequestTimeout = seconds(5);
+constexpr double kMinServedShare = 0.98;
 
 WorkspaceId Workspace(int number) {
   return WorkspaceId("w" + std::to_string(number));
 }
 
-/// The queue under test as the simulation uses it.
+/// Adapts FairQueue to the simulation.
 class FairServer {
  public:
   explicit FairServer(std::size_t slots) : queue(slots) {}
 
   void Push(int workspace, std::uint32_t weight, SteadyTime now) {
-    this->queue.Push(Workspace(workspace), weight, now + kPatience, 1,
+    this->queue.Push(Workspace(workspace), weight, now + kRequestTimeout, 1,
                      workspace, now);
   }
 
@@ -63,14 +63,14 @@
   Queue queue;
 };
 
-/// Baseline: one queue in order of arrival with the same total bound.
+/// Baseline: one queue in order of arrival with the same total limit.
 class FifoServer {
  public:
   explicit FifoServer(std::size_t /*slots*/) {}
 
   void Push(int workspace, std::uint32_t /*weight*/, SteadyTime now) {
     if (this->waiting.size() >= FairQueueLimits{}.total) return;
-    this->waiting.emplace_back(workspace, now + kPatience);
+    this->waiting.emplace_back(workspace, now + kRequestTimeout);
   }
 
   std::optional<int> Pop(SteadyTime now) {
@@ -90,22 +90,25 @@
 
 struct Scenario {
   std::vector<std::uint32_t> weights;
+  /// Index of the workspace that sends kHeavyFactor times its fair share.
   int heavy = 0;
   std::size_t slots = 2;
   Duration service = milliseconds(10);
-  /// What the other workspaces ask, relative to what is due to them.
+  /// Load of the other workspaces relative to their fair share.
   double load = 1.0;
   unsigned seed = 1;
 };
 
-// Requests that fit into a run. The share that is still waiting at the end
-// counts as not served, so a shorter run is the stricter one.
-constexpr double kRunRequests = 8000.0;
+// Number of requests that the slots can serve during a simulation. Requests
+// that are still waiting at the end count as not served, so a shorter
+// simulation is stricter.
+constexpr double kSimulationCapacity = 8000.0;
 constexpr double kHeavyFactor = 5.0;
 
-/// Served / min(asked, due) of the worst-served workspace in virtual time.
+/// Simulates the scenario. Returns served / min(requested, fair share) of the
+/// workspace for which this ratio is smallest.
 template <typename Server>
-double WorstShare(const Scenario& scenario) {
+double SimulateWorstShare(const Scenario& scenario) {
   std::mt19937 random(scenario.seed);
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
   const auto count = static_cast<int>(scenario.weights.size());
@@ -114,20 +117,21 @@
   const double capacity =
       static_cast<double>(scenario.slots) /
       std::chrono::duration<double>(scenario.service).count();
-  const double run_seconds = kRunRequests / capacity;
-  std::vector<double> due(count);
-  std::vector<double> asked(count);
+  const double simulated_seconds = kSimulationCapacity / capacity;
+  std::vector<double> fair_share(count);
+  std::vector<double> requested(count);
   std::vector<double> served(count);
   std::vector<std::pair<SteadyTime, int>> arrivals;
   for (int i = 0; i < count; ++i) {
-    due[i] = capacity * scenario.weights[i] / total_weight * run_seconds;
-    asked[i] = std::floor(due[i] *
-                          (i == scenario.heavy ? kHeavyFactor : scenario.load));
-    for (int k = 0; k < asked[i]; ++k) {
-      const std::chrono::duration<double> at((k + uniform(random)) *
-                                             run_seconds / asked[i]);
-      arrivals.emplace_back(kStart + std::chrono::duration_cast<Duration>(at),
-                            i);
+    fair_share[i] =
+        capacity * scenario.weights[i] / total_weight * simulated_seconds;
+    requested[i] = std::floor(
+        fair_share[i] * (i == scenario.heavy ? kHeavyFactor : scenario.load));
+    for (int k = 0; k < requested[i]; ++k) {
+      const std::chrono::duration<double> arrival(
+          (k + uniform(random)) * simulated_seconds / requested[i]);
+      arrivals.emplace_back(
+          kStart + std::chrono::duration_cast<Duration>(arrival), i);
     }
   }
   std::sort(arrivals.begin(), arrivals.end());
@@ -157,25 +161,25 @@
   }
   double worst = 1.0;
   for (int i = 0; i < count; ++i) {
-    worst = std::min(worst, served[i] / std::min(asked[i], due[i]));
+    worst = std::min(worst, served[i] / std::min(requested[i], fair_share[i]));
   }
   return worst;
 }
 
-// Guards against a workspace that takes the share of others by sending five
-// times its rate.
+// Guards against a workspace that gets the share of others by sending five
+// times its fair share.
 TEST(FairShareTest, OneWorkspaceAtFiveTimes_FairQueue_ServesAll) {
   const Scenario scenario{std::vector<std::uint32_t>(8, 1)};
-  EXPECT_GE(WorstShare<FairServer>(scenario), kFairShare);
+  EXPECT_GE(SimulateWorstShare<FairServer>(scenario), kMinServedShare);
 }
 
-// Guards against a check of fairness that any queue passes.
+// Guards against a fairness check that is so weak that a FIFO queue passes it.
 TEST(FairShareTest, OneWorkspaceAtFiveTimes_Fifo_FailsTheSameCheck) {
   const Scenario scenario{std::vector<std::uint32_t>(8, 1)};
-  EXPECT_LT(WorstShare<FifoServer>(scenario), kFairShare);
+  EXPECT_LT(SimulateWorstShare<FifoServer>(scenario), kMinServedShare);
 }
 
-// Guards against fairness that holds for one set-up only.
+// Guards against fairness that depends on weights, slots or load.
 RC_GTEST_PROP(FairShareProperty, AnyScenario_FairQueue_ServesAll, ()) {
   Scenario scenario;
   const bool equal = *rc::gen::arbitrary<bool>();
@@ -188,13 +192,13 @@
   scenario.service = milliseconds(*rc::gen::inRange(5, 21));
   scenario.load = *rc::gen::inRange(3, 11) / 10.0;
   scenario.seed = *rc::gen::arbitrary<unsigned>();
-  const double worst = WorstShare<FairServer>(scenario);
+  const double worst = SimulateWorstShare<FairServer>(scenario);
   RC_LOG() << "worst share " << worst << '\n';
-  RC_ASSERT(worst >= kFairShare);
+  RC_ASSERT(worst >= kMinServedShare);
 }
 
 // Guards against requests that are lost, answered twice, or started after
-// their deadline, and against queues beyond their bounds.
+// their deadline, and against queues that exceed their limits.
 RC_GTEST_PROP(FairQueueProperty, AnyUse_EachItem_ComesOutOnce, ()) {
   using Step = std::tuple<int, int, int, int>;
   const auto steps = *rc::gen::container<std::vector<Step>>(
@@ -208,8 +212,9 @@
   int running = 0;
   const auto check_shed = [&](const Queue::Shed& shed) {
     const bool expired = waiting.at(shed.item).second <= now;
-    const bool late = shed.outcome.reason == NotRunReason::kDeadlinePassed;
-    RC_ASSERT(expired == late);
+    const bool reported_expired =
+        shed.outcome.reason == NotRunReason::kDeadlinePassed;
+    RC_ASSERT(expired == reported_expired);
     RC_ASSERT(shed.workspace == Workspace(waiting.at(shed.item).first));
     waiting.erase(shed.item);
   };
@@ -250,7 +255,7 @@
     }
     RC_ASSERT(queue.Length() == waiting.size());
     RC_ASSERT(queue.Length() <= limits.total);
-    RC_ASSERT(queue.KnownWorkspaces() <= 2 * limits.total);
+    RC_ASSERT(queue.TrackedWorkspaces() <= 2 * limits.total);
     for (int i = 0; i < 4; ++i) {
       RC_ASSERT(queue.QueueLength(Workspace(i)) <= limits.per_workspace);
     }
@@ -258,44 +263,45 @@
   while (pop()) {
   }
   RC_ASSERT(waiting.empty());
-  RC_ASSERT(queue.KnownWorkspaces() == 0U);
+  RC_ASSERT(queue.TrackedWorkspaces() == 0U);
 }
 
-// Guards against an order that differs from start-time fair queueing as it is
-// defined, with a tag for each request at its arrival.
-RC_GTEST_PROP(FairQueueProperty, AnyArrivals_Pop_FollowsTheDefinition, ()) {
+// Guards against an order that differs from the definition of start-time fair
+// queueing, which assigns a start tag to each request at its arrival. The queue
+// stores only one start tag for each workspace.
+RC_GTEST_PROP(FairQueueProperty, AnyArrivals_Pop_FollowsSfqDefinition, ()) {
   using Step = std::tuple<bool, int, int>;
   const auto steps = *rc::gen::container<std::vector<Step>>(
       rc::gen::tuple(rc::gen::arbitrary<bool>(), rc::gen::inRange(0, 4),
                      rc::gen::inRange(1, 6)));
   Queue queue(1, FairQueueLimits{1000, 1000});
-  std::map<std::pair<VirtualTime, int>, int> by_tag;
-  std::map<int, VirtualTime> finish;
-  VirtualTime virtual_now = 0;
+  std::map<std::pair<VirtualTime, int>, int> by_start_tag;
+  std::map<int, VirtualTime> finish_tags;
+  VirtualTime virtual_time = 0;
   int next = 0;
   for (const auto& [push, workspace, cost] : steps) {
     if (push) {
       const std::uint32_t weight = workspace + 1;
-      const VirtualTime start = std::max(virtual_now, finish[workspace]);
-      finish[workspace] = start + VirtualCost(cost, weight);
-      by_tag[{start, next}] = next;
+      const VirtualTime start = std::max(virtual_time, finish_tags[workspace]);
+      finish_tags[workspace] = start + VirtualCost(cost, weight);
+      by_start_tag[{start, next}] = next;
       queue.Push(Workspace(workspace), weight, SteadyTime::max(), cost, next,
                  kStart);
       ++next;
       continue;
     }
     Queue::PopResult result = queue.Pop(kStart);
-    if (by_tag.empty()) {
+    if (by_start_tag.empty()) {
       RC_ASSERT(std::holds_alternative<Queue::Empty>(result));
       continue;
     }
-    const auto first = by_tag.begin();
+    const auto first = by_start_tag.begin();
     RC_ASSERT(std::get<Queue::Ready>(result).item == first->second);
-    virtual_now = first->first.first;
-    by_tag.erase(first);
-    if (by_tag.empty()) {
-      for (const auto& [other, tag] : finish) {
-        virtual_now = std::max(virtual_now, tag);
+    virtual_time = first->first.first;
+    by_start_tag.erase(first);
+    if (by_start_tag.empty()) {
+      for (const auto& [other, tag] : finish_tags) {
+        virtual_time = std::max(virtual_time, tag);
       }
     }
   }
@@ -303,9 +309,10 @@
 
 class FairQueueTest : public testing::Test {
  protected:
-  Queue::PushResult Push(int workspace, int item, Duration patience = kPatience,
+  Queue::PushResult Push(int workspace, int item,
+                         Duration timeout = kRequestTimeout,
                          std::uint32_t weight = 1) {
-    return this->queue.Push(Workspace(workspace), weight, kStart + patience, 1,
+    return this->queue.Push(Workspace(workspace), weight, kStart + timeout, 1,
                             item, kStart);
   }
 
@@ -319,14 +326,15 @@
     return ready == nullptr ? -1 : ready->item;
   }
 
-  /// Gives the queue a measured service time.
-  void Measure(Duration service_time) {
+  /// Lets one request complete with the service time, so that the queue can
+  /// estimate waits.
+  void RecordServiceTime(Duration service_time) {
     this->Push(0, 0);
     this->PopItem();
     this->queue.Completed(service_time);
   }
 
-  static std::optional<NotRunReason> RefusalIn(
+  static std::optional<NotRunReason> RefusalReasonOf(
       const Queue::PushResult& result) {
     const auto* refused = std::get_if<Queue::Refused>(&result);
     if (refused == nullptr) return std::nullopt;
@@ -336,14 +344,16 @@
   Queue queue{1};
 };
 
-// Guards against one workspace that fills the memory of an owner.
+// Guards against one workspace that exhausts the memory of the daemon that owns
+// the endpoint.
 TEST_F(FairQueueTest, FullWorkspaceQueue_Push_IsRefused) {
   this->Fill(1, 64);
-  EXPECT_EQ(RefusalIn(this->Push(1, 1)), NotRunReason::kQueueFull);
-  EXPECT_EQ(RefusalIn(this->Push(2, 2)), std::nullopt);
+  EXPECT_EQ(RefusalReasonOf(this->Push(1, 1)), NotRunReason::kQueueFull);
+  EXPECT_EQ(RefusalReasonOf(this->Push(2, 2)), std::nullopt);
 }
 
-// Guards against a small workspace that is refused because others are many.
+// Guards against a workspace with a short queue that is refused because other
+// workspaces have filled the queue.
 TEST_F(FairQueueTest, FullQueue_PushOfSmallWorkspace_EvictsFromTheLongest) {
   for (int workspace = 1; workspace <= 7; ++workspace) {
     this->Fill(workspace, 63);
@@ -358,14 +368,15 @@
   EXPECT_EQ(evicted->workspace, Workspace(8));
   EXPECT_EQ(evicted->outcome.reason, NotRunReason::kQueueFull);
   EXPECT_EQ(this->queue.Length(), 512U);
-  // Now workspace 8 is as long as the others, so its own push is refused.
-  EXPECT_EQ(RefusalIn(this->Push(8, 8)), NotRunReason::kQueueFull);
+  // The queue of workspace 8 is now as long as the others, so its own push is
+  // refused.
+  EXPECT_EQ(RefusalReasonOf(this->Push(8, 8)), NotRunReason::kQueueFull);
 }
 
-// Guards against eviction that ignores what a workspace is entitled to.
+// Guards against eviction that ignores the weights of the workspaces.
 TEST_F(FairQueueTest, FullQueue_Push_EvictsRelativeToTheWeight) {
   Queue weighted(1, FairQueueLimits{8, 9});
-  const SteadyTime deadline = kStart + kPatience;
+  const SteadyTime deadline = kStart + kRequestTimeout;
   for (int i = 0; i < 6; ++i) {
     weighted.Push(Workspace(1), 4, deadline, 1, i, kStart);
   }
@@ -392,68 +403,68 @@
   EXPECT_EQ(this->queue.EarliestDeadline(), std::nullopt);
 }
 
-// Guards against requests that wait although they can't be served in time, and
-// against shedding a small workspace for the long queue of another one.
+// Guards against queueing requests that cannot be served in time, and against
+// refusing a workspace with a short queue because another one has a long queue.
 TEST_F(FairQueueTest, ExpectedWaitBeyondDeadline_Push_IsRefused) {
-  this->Measure(milliseconds(10));
+  this->RecordServiceTime(milliseconds(10));
   EXPECT_EQ(this->queue.ExpectedWait(Workspace(1)), Duration::zero());
   this->Fill(1, 1);
   this->PopItem();
   this->Fill(1, 20);
   EXPECT_EQ(this->queue.ExpectedWait(Workspace(1)), milliseconds(210));
-  EXPECT_EQ(RefusalIn(this->Push(1, 1, milliseconds(209))),
+  EXPECT_EQ(RefusalReasonOf(this->Push(1, 1, milliseconds(209))),
             NotRunReason::kDeadlinePassed);
-  EXPECT_EQ(RefusalIn(this->Push(1, 1, milliseconds(210))), std::nullopt);
+  EXPECT_EQ(RefusalReasonOf(this->Push(1, 1, milliseconds(210))), std::nullopt);
   EXPECT_EQ(this->queue.ExpectedWait(Workspace(2)), milliseconds(20));
-  EXPECT_EQ(RefusalIn(this->Push(2, 2, milliseconds(20))), std::nullopt);
+  EXPECT_EQ(RefusalReasonOf(this->Push(2, 2, milliseconds(20))), std::nullopt);
 }
 
-// Guards against a queue that refuses everything for ever after one slow
-// statement.
+// Guards against a queue that refuses all requests after one slow statement: if
+// nothing is queued or running, no later sample could correct the estimate.
 TEST_F(FairQueueTest, SlowStatement_LaterPush_IsAccepted) {
-  this->Measure(seconds(60));
-  EXPECT_EQ(RefusalIn(this->Push(1, 1, milliseconds(10))), std::nullopt);
+  this->RecordServiceTime(seconds(60));
+  EXPECT_EQ(RefusalReasonOf(this->Push(1, 1, milliseconds(10))), std::nullopt);
 }
 
-// Guards against a workspace that saves up turns while it is idle.
+// Guards against a workspace that accumulates credit while it is idle.
 TEST_F(FairQueueTest, LongIdleWorkspace_Pop_GetsNoCredit) {
   this->Fill(1, 60);
   for (int i = 0; i < 40; ++i) this->PopItem();
   this->Fill(2, 10);
-  int turns = 0;
-  for (int i = 0; i < 10; ++i) turns += this->PopItem() == 2 ? 1 : 0;
-  EXPECT_EQ(turns, 5);
+  int served_count = 0;
+  for (int i = 0; i < 10; ++i) served_count += this->PopItem() == 2 ? 1 : 0;
+  EXPECT_EQ(served_count, 5);
 }
 
-// Guards against a workspace that gets every turn by pushing one request after
-// each pop, so that its queue is always empty.
+// Guards against a workspace that is always served next because it pushes one
+// request after each pop, which empties its queue each time.
 TEST_F(FairQueueTest, OneRequestAtATime_Pop_TakesOnlyItsShare) {
   this->Fill(1, 30);
-  int turns = 0;
+  int served_count = 0;
   for (int i = 0; i < 20; ++i) {
     if (this->queue.QueueLength(Workspace(2)) == 0) this->Push(2, 2);
-    turns += this->PopItem() == 2 ? 1 : 0;
+    served_count += this->PopItem() == 2 ? 1 : 0;
   }
-  EXPECT_EQ(turns, 10);
+  EXPECT_EQ(served_count, 10);
 }
 
-// Guards against memory that grows with every workspace ever seen.
+// Guards against memory that grows with the number of workspaces ever seen.
 TEST_F(FairQueueTest, ManyWorkspaces_KnownWorkspaces_IsBounded) {
   Queue small(1, FairQueueLimits{4, 8});
-  const SteadyTime deadline = kStart + kPatience;
+  const SteadyTime deadline = kStart + kRequestTimeout;
   for (int i = 0; i < 1000; ++i) {
     small.Push(Workspace(i), 1, deadline, kMaxQueueCost, i, kStart);
     small.Push(Workspace(i + 1), 1, deadline, 1, i, kStart);
     small.Pop(kStart);
-    EXPECT_LE(small.KnownWorkspaces(), 16U);
+    EXPECT_LE(small.TrackedWorkspaces(), 16U);
   }
 }
 
-// Guards against requests that can't be moved into and out of the queue.
+// Guards against a queue that copies requests.
 TEST_F(FairQueueTest, MoveOnlyItem_PushAndPop_IsMoved) {
   FairQueue<std::unique_ptr<int>> moving(1);
-  moving.Push(Workspace(1), 1, kStart + kPatience, 1, std::make_unique<int>(7),
-              kStart);
+  moving.Push(Workspace(1), 1, kStart + kRequestTimeout, 1,
+              std::make_unique<int>(7), kStart);
   auto result = moving.Pop(kStart);
   using Ready = FairQueue<std::unique_ptr<int>>::Ready;
   EXPECT_EQ(*std::get<Ready>(result).item, 7);
--- a/Source/UnitTests/Core/Request/idempotency_key_test.cc
+++ b/Source/UnitTests/Core/Request/idempotency_key_test.cc
@@ -22,17 +22,17 @@
 
 class IdempotencyKeyTest : public testing::Test {
  protected:
-  static Operations Parsed(const std::string& text) {
+  static Operations ParseText(const std::string& text) {
     return ParseOperations(nlohmann::json::parse(text));
   }
 
   static std::string DigestOf(const std::string& route,
                               const std::string& operations) {
-    return OperationsDigest(RouteId(route), Parsed(operations));
+    return OperationsDigest(RouteId(route), ParseText(operations));
   }
 };
 
-// Guards against a record under another name than the client's key.
+// Guards against a record whose key differs from the client's key.
 TEST_F(IdempotencyKeyTest, WellFormed_Parse_KeepsTextAndTime) {
   const IdempotencyKey key = IdempotencyKey::Parse(kKey, kIssuedAt);
   EXPECT_EQ(key.Text(), kKey);
@@ -68,7 +68,7 @@
 }
 
 // Guards against a retry that runs again because its record was purged.
-TEST_F(IdempotencyKeyTest, DayOld_Parse_IsExpired) {
+TEST_F(IdempotencyKeyTest, OlderThanMaxAge_Parse_IsExpired) {
   const WallTime last = kIssuedAt + kMaxIdempotencyKeyAge;
   EXPECT_NO_THROW(IdempotencyKey::Parse(kKey, last));
   EXPECT_THROW(IdempotencyKey::Parse(kKey, last + nanoseconds(1)),
@@ -77,8 +77,8 @@
                IdempotencyKeyExpiredError);
 }
 
-// Guards against a key that stays valid longer than its record is kept, also
-// when its time does not fit into nanoseconds.
+// Guards against a key that stays valid longer than its record is kept, even if
+// its issue time does not fit into a 64-bit number of nanoseconds.
 TEST_F(IdempotencyKeyTest, FromFuture_Parse_IsRefused) {
   const WallTime first = kIssuedAt - kMaxIdempotencyKeyLead;
   EXPECT_NO_THROW(IdempotencyKey::Parse(kKey, first));
@@ -88,36 +88,37 @@
                IdempotencyKeyFromFutureError);
 }
 
-// Guards against text that escapes the typed errors, or is accepted although
-// it is outside the stated form.
-RC_GTEST_PROP(IdempotencyKeyProperty, AnyText_Parse_AcceptsOnlyTheStatedForm,
+// Guards against malformed keys that are accepted or that cause an exception of
+// another type.
+RC_GTEST_PROP(IdempotencyKeyProperty, AnyText_Parse_AcceptsOnlyTheFormat,
               (bool hyphen)) {
-  const auto tail = *rc::gen::container<std::string>(
+  const auto suffix = *rc::gen::container<std::string>(
       rc::gen::elementOf(std::string("0123456789-_aZ \n")));
-  const std::string text = (hyphen ? "-" : "") + tail;
+  const std::string text = (hyphen ? "-" : "") + suffix;
   const std::string key = std::to_string(kIssued) + text;
-  const bool stated = text.size() >= 9 && text.size() <= 65 && text[0] == '-' &&
-                      text.find_first_of(" \n") == std::string::npos;
-  RC_CLASSIFY(stated);
+  const bool well_formed = text.size() >= 9 && text.size() <= 65 &&
+                           text[0] == '-' &&
+                           text.find_first_of(" \n") == std::string::npos;
+  RC_CLASSIFY(well_formed);
   try {
     IdempotencyKey::Parse(key, kIssuedAt);
-    RC_ASSERT(stated);
+    RC_ASSERT(well_formed);
   } catch (const BadIdempotencyKeyError& error) {
-    RC_ASSERT(!stated);
+    RC_ASSERT(!well_formed);
   }
 }
 
-// Guards against a retry that is taken for another request.
+// Guards against a retry that is treated as another request.
 TEST_F(IdempotencyKeyTest, SameRequest_OperationsDigest_IsEqual) {
-  const std::string once = DigestOf(
+  const std::string original = DigestOf(
       "r", R"([{"op":"put","table":"t","key":"k","value":{"a":1,"b":2}}])");
   const std::string reordered = DigestOf(
       "r", R"([{"value":{"b":2,"a":1},"key":"k","table":"t","op":"put"}])");
-  EXPECT_EQ(once, reordered);
-  EXPECT_EQ(once.size(), 64U);
+  EXPECT_EQ(original, reordered);
+  EXPECT_EQ(original.size(), 64U);
 }
 
-// Guards against the stored result of one request answering another.
+// Guards against answering one request with the stored result of another.
 TEST_F(IdempotencyKeyTest, OtherRequest_OperationsDigest_Differs) {
   const std::vector<std::string> digests = {
       DigestOf("r", R"([{"op":"add","table":"t","key":"k","amount":1}])"),
@@ -135,7 +136,7 @@
   }
 }
 
-// Guards against an exception on text that JSON cannot hold.
+// Guards against an exception on strings that are not valid UTF-8.
 TEST_F(IdempotencyKeyTest, InvalidUtf8_OperationsDigest_IsDefined) {
   const Operations first = {GetOperation{"t", "\xff"}};
   const Operations second = {GetOperation{"t", "\xfe"}};
--- a/Source/UnitTests/Core/Request/operation_test.cc
+++ b/Source/UnitTests/Core/Request/operation_test.cc
@@ -22,7 +22,7 @@
   }
 };
 
-// Guards against operations that change on their way to an endpoint.
+// Guards against operations that change when they are parsed and serialized.
 TEST_F(OperationTest, EveryKind_RoundTrip_IsUnchanged) {
   const nlohmann::json list = nlohmann::json::parse(R"([
       {"op":"get","table":"t","key":"k"},
@@ -34,7 +34,7 @@
   EXPECT_EQ(OperationsToJson(ParseOperations(list)), list);
 }
 
-// Guards against a write that is taken for a read and sent to a replica.
+// Guards against a write that is classified as a read and sent to a replica.
 TEST_F(OperationTest, AnyWrite_IsReadOnly_IsFalse) {
   const auto read = ParseOperations(
       nlohmann::json::parse(R"([{"op":"get","table":"t","key":"k"}])"));
@@ -45,8 +45,8 @@
   EXPECT_FALSE(IsReadOnly(mixed));
 }
 
-// Guards against malformed statements that reach an endpoint.
-TEST_F(OperationTest, MalformedList_Parse_NamesTheFault) {
+// Guards against malformed statements that are sent to an endpoint.
+TEST_F(OperationTest, MalformedList_Parse_ReportsTheFault) {
   EXPECT_EQ(FaultOf("{}"), OperationFault::kNotAList);
   EXPECT_EQ(FaultOf("[]"), OperationFault::kEmptyList);
   EXPECT_EQ(FaultOf("[1]"), OperationFault::kNotAnObject);
--- a/Source/UnitTests/Core/Request/read_router_test.cc
+++ b/Source/UnitTests/Core/Request/read_router_test.cc
@@ -33,11 +33,11 @@
     return endpoint;
   }
 
-  /// Names of the candidates in order.
-  std::string Order(LogPosition position, std::uint64_t spread = 0) const {
+  /// Concatenated ids of the candidates in order.
+  std::string Order(LogPosition position, std::uint64_t rotation = 0) const {
     std::string order;
     for (const ReadCandidate& candidate : this->router.Candidates(
-             this->endpoints, {position, std::nullopt}, spread, kNow)) {
+             this->endpoints, {position, std::nullopt}, rotation, kNow)) {
       order += candidate.endpoint.Value();
     }
     return order;
@@ -53,16 +53,16 @@
       MakeEndpoint("e", "east", "ub", EndpointRole::kReplica, {2, 5})};
 };
 
-// Guards against reads that cross the slow link, or load the primary, although
-// a replica nearby can serve them.
-TEST_F(ReadRouterTest, SessionPosition_Candidates_NearCaughtUpFirst) {
+// Guards against reads that use the slow link between regions, or load the
+// primary, although a replica in the same region can serve them.
+TEST_F(ReadRouterTest, SessionPosition_Candidates_NearestCaughtUpFirst) {
   EXPECT_EQ(this->Order({2, 5}), "ewrp");
   EXPECT_EQ(this->Order({2, 9}), "werp");
   EXPECT_EQ(this->Order({2, 10}), "ewrp");
   EXPECT_EQ(this->Order({}), "ewrp");
 }
 
-// Guards against a wait at a replica that still follows the old primary.
+// Guards against waiting for a replica that still follows the old primary.
 TEST_F(ReadRouterTest, ReplicaInOlderTerm_Candidates_SkipsUnlessNoPrimary) {
   this->endpoints[3].position_learned = kNow;
   EXPECT_EQ(this->Order({3, 10}), "wrp");
@@ -78,28 +78,31 @@
   EXPECT_EQ(candidates[0].role, EndpointRole::kPrimary);
 }
 
-// Guards against one replica that gets all reads while its equals are idle.
-TEST_F(ReadRouterTest, EqualReplicas_Spread_TakesTurns) {
+// Guards against one replica that gets all reads while equally good ones are
+// idle.
+TEST_F(ReadRouterTest, EqualReplicas_Rotation_DistributesReads) {
   this->endpoints[3].domain = FailureDomainId("north");
   std::set<std::string> first;
-  for (std::uint64_t spread = 0; spread < 3; ++spread) {
-    first.insert(this->Order({}, spread).substr(0, 1));
+  for (std::uint64_t rotation = 0; rotation < 3; ++rotation) {
+    first.insert(this->Order({}, rotation).substr(0, 1));
   }
   EXPECT_EQ(first, (std::set<std::string>{"e", "w"}));
 }
 
-// Guards against reads of own writes that a lagging replica answers at once,
-// work for leaving endpoints, and a primary that is not the last resort.
-RC_GTEST_FIXTURE_PROP(ReadRouterTest, AnyState_Candidates_KeepRules,
-                      (std::uint64_t spread)) {
-  const LogPosition wanted{2, *rc::gen::inRange<common::LogIndex>(1, 12)};
+// Guards against a lagging replica that is not told to wait for the session's
+// position, reads on endpoints that are leaving, and a primary that is tried
+// before a replica.
+RC_GTEST_FIXTURE_PROP(ReadRouterTest, AnyState_Candidates_KeepOrderingRules,
+                      (std::uint64_t rotation)) {
+  const LogPosition session_position{
+      2, *rc::gen::inRange<common::LogIndex>(1, 12)};
   for (ReadEndpoint& endpoint : this->endpoints) {
     endpoint.position.index = *rc::gen::inRange<common::LogIndex>(1, 12);
     endpoint.reachable = *rc::gen::arbitrary<bool>();
     endpoint.leaving = *rc::gen::arbitrary<bool>();
   }
   const auto candidates = this->router.Candidates(
-      this->endpoints, {wanted, std::nullopt}, spread, kNow);
+      this->endpoints, {session_position, std::nullopt}, rotation, kNow);
   std::size_t usable = 0;
   for (const ReadEndpoint& endpoint : this->endpoints) {
     if (endpoint.reachable && !endpoint.leaving) ++usable;
@@ -116,8 +119,8 @@
       RC_ASSERT(candidate == candidates.back());
       continue;
     }
-    const bool waits = candidate.wait > common::Duration::zero();
-    RC_ASSERT(waits == (endpoint->position < wanted));
+    const bool must_wait = candidate.wait > common::Duration::zero();
+    RC_ASSERT(must_wait == (endpoint->position < session_position));
   }
 }
 
--- a/Source/UnitTests/Core/Request/request_record_test.cc
+++ b/Source/UnitTests/Core/Request/request_record_test.cc
@@ -31,8 +31,9 @@
 class RequestRecordTest : public testing::Test {
  protected:
   static std::string Body(const std::string& operations,
-                          const std::string& more = "") {
-    return R"({"route":"ledger-1","operations":)" + operations + more + "}";
+                          const std::string& more_fields = "") {
+    return R"({"route":"ledger-1","operations":)" + operations + more_fields +
+           "}";
   }
 
   static RequestClass ClassOf(const HeaderFields& headers,
@@ -50,9 +51,9 @@
     return std::nullopt;
   }
 
-  /// Reason with which the request is refused, if it is.
-  static std::optional<NotRunReason> RefusalOf(const HeaderFields& headers,
-                                               const std::string& body) {
+  /// Reason for which the request is refused; none if it is accepted.
+  static std::optional<NotRunReason> RefusalReasonOf(
+      const HeaderFields& headers, const std::string& body) {
     try {
       Parse(headers, body);
     } catch (const common::Error& error) {
@@ -81,8 +82,8 @@
   EXPECT_EQ(record.request_id, "a-Z_0.1:2");
 }
 
-// Guards against defaults that differ from the interface's.
-TEST_F(RequestRecordTest, BareRequest_Parse_HasDefaults) {
+// Guards against defaults that differ from the documented interface.
+TEST_F(RequestRecordTest, MinimalRequest_Parse_HasDefaults) {
   const RequestRecord record = Parse({}, Body(kGet));
   EXPECT_EQ(record.deadline, kNow + milliseconds(5000));
   EXPECT_EQ(record.session, "");
@@ -94,9 +95,9 @@
   EXPECT_EQ(aged.max_age, common::Duration::zero());
 }
 
-// Guards against a payout that is repeated because it was taken for another
-// class.
-TEST_F(RequestRecordTest, EveryClass_Parse_IsTold) {
+// Guards against a write that runs twice because the request was put into the
+// wrong class.
+TEST_F(RequestRecordTest, EveryClass_Parse_IsRecognized) {
   const HeaderFields keyed = {{"idempotency-key", kKey}};
   const std::string repeatable = R"(,"repeatable":true)";
   EXPECT_EQ(ClassOf({}, Body(kGet)), RequestClass::kRead);
@@ -109,8 +110,8 @@
   EXPECT_EQ(ClassOf(keyed, Body(kAdd, repeatable)), RequestClass::kKeyedWrite);
 }
 
-// Guards against requests that outlive a graceful shutdown.
-TEST_F(RequestRecordTest, LongDeadline_Parse_IsCapped) {
+// Guards against requests that run longer than a graceful shutdown waits.
+TEST_F(RequestRecordTest, LongDeadline_Parse_IsLimited) {
   const auto deadline = [](const std::string& text) {
     return Parse({{"camphorferry-deadline-ms", text}}, Body(kGet)).deadline;
   };
@@ -119,8 +120,8 @@
   EXPECT_EQ(deadline("999999999"), kNow + seconds(25));
 }
 
-// Guards against headers that are half understood.
-TEST_F(RequestRecordTest, BadHeader_Parse_NamesTheFault) {
+// Guards against invalid header values that are partly parsed or ignored.
+TEST_F(RequestRecordTest, BadHeader_Parse_ReportsTheFault) {
   const char* deadline = "camphorferry-deadline-ms";
   for (const char* text : {"", "-1", "+1", "1.5", " 1", "1s", "9999999999"}) {
     EXPECT_EQ(FaultOf({{deadline, text}}, Body(kGet)),
@@ -139,8 +140,8 @@
   }
 }
 
-// Guards against a body whose meaning is guessed.
-TEST_F(RequestRecordTest, BadBody_Parse_NamesTheFault) {
+// Guards against invalid bodies that are accepted with a guessed meaning.
+TEST_F(RequestRecordTest, BadBody_Parse_ReportsTheFault) {
   EXPECT_EQ(FaultOf({}, ""), RequestFault::kNotJson);
   EXPECT_EQ(FaultOf({}, "{"), RequestFault::kNotJson);
   EXPECT_EQ(FaultOf({}, Body(kGet) + "x"), RequestFault::kNotJson);
@@ -172,15 +173,15 @@
   EXPECT_EQ(FaultOf({}, put('"' + large + '"')), RequestFault::kBodyTooLarge);
 }
 
-// Guards against faults that reach the client under a wrong reason.
-TEST_F(RequestRecordTest, EveryError_RefusalReason_IsTold) {
+// Guards against errors that are reported to the client with a wrong reason.
+TEST_F(RequestRecordTest, EveryError_RefusalReason_IsReported) {
   const auto keyed = [](const std::string& key) {
-    return RefusalOf({{"idempotency-key", key}}, Body(kAdd));
+    return RefusalReasonOf({{"idempotency-key", key}}, Body(kAdd));
   };
-  EXPECT_EQ(RefusalOf({}, std::string(kMaxStatementBytes + 1, ' ')),
+  EXPECT_EQ(RefusalReasonOf({}, std::string(kMaxStatementBytes + 1, ' ')),
             NotRunReason::kTooLarge);
-  EXPECT_EQ(RefusalOf({}, "{"), NotRunReason::kBadRequest);
-  EXPECT_EQ(RefusalOf({}, Body("[]")), NotRunReason::kBadRequest);
+  EXPECT_EQ(RefusalReasonOf({}, "{"), NotRunReason::kBadRequest);
+  EXPECT_EQ(RefusalReasonOf({}, Body("[]")), NotRunReason::kBadRequest);
   EXPECT_EQ(keyed("x"), NotRunReason::kBadRequest);
   EXPECT_EQ(keyed("1-12345678"), NotRunReason::kIdempotencyKeyExpired);
   EXPECT_EQ(keyed("1764839999-12345678"), NotRunReason::kBadRequest);
@@ -191,12 +192,13 @@
   EXPECT_EQ(RefusalReason(MissingSessionSecretError()), std::nullopt);
 }
 
-// Guards against a malformed body that ends the daemon with another exception.
+// Guards against a malformed body that terminates the daemon with an exception
+// of another type.
 RC_GTEST_PROP(RequestRecordProperty, AnyChangedBody_Parse_ThrowsTypedErrors,
               (const std::string& patch, const std::string& id)) {
   std::string body = R"({"route":"r","operations":)" + kAdd + "}";
-  const auto at = *rc::gen::inRange<std::size_t>(0, body.size());
-  body.replace(at, patch.size(), patch);
+  const auto offset = *rc::gen::inRange<std::size_t>(0, body.size());
+  body.replace(offset, patch.size(), patch);
   try {
     const RequestRecord record = Parse({{"request-id", id}}, body);
     RC_ASSERT(record.request_id.size() <= kMaxRequestIdLength);
@@ -205,7 +207,7 @@
   }
 }
 
-// Guards against response bodies that differ from the interface's.
+// Guards against response bodies that differ from the documented interface.
 TEST(OutcomeToJsonTest, EveryOutcome_OutcomeToJson_HasItsFields) {
   const Done done{json::array({1}), {1, 2}, false, microseconds(1500)};
   EXPECT_EQ(OutcomeToJson(done, "r"),
--- a/Source/UnitTests/Core/Request/retry_policy_test.cc
+++ b/Source/UnitTests/Core/Request/retry_policy_test.cc
@@ -25,8 +25,8 @@
     RequestClass::kRead, RequestClass::kKeyedWrite,
     RequestClass::kRepeatableWrite, RequestClass::kUnrepeatableWrite};
 
-/// What happens to one attempt in the model.
-enum class Fate {
+/// What happens to one attempt in EndpointModel.
+enum class AttemptFate {
   kAnswered,
   kAnswerLost,
   kNeverArrives,
@@ -37,33 +37,34 @@
   kMismatch,
 };
 
-/// An endpoint that counts effects. A conflict is a state that other clients
-/// create and remove; a mismatch stays, since the key's record does.
+/// Model of an endpoint that counts effects. Other clients create and remove
+/// the cause of a conflict at any time. A mismatch is permanent, because the
+/// key's record is kept.
 class EndpointModel {
  public:
   explicit EndpointModel(RequestClass request_class)
       : keyed(request_class == RequestClass::kKeyedWrite) {}
 
-  Outcome Attempt(Fate fate) {
+  Outcome Attempt(AttemptFate fate) {
     switch (fate) {
-      case Fate::kAnswered:
+      case AttemptFate::kAnswered:
         return this->Run();
-      case Fate::kAnswerLost:
+      case AttemptFate::kAnswerLost:
         this->Run();
         return Unknown{UnknownReason::kNoAnswer};
-      case Fate::kNeverArrives:
+      case AttemptFate::kNeverArrives:
         return Unknown{UnknownReason::kConnectionLost};
-      case Fate::kArrivesLate:
-        ++this->on_their_way;
+      case AttemptFate::kArrivesLate:
+        ++this->in_flight;
         return Unknown{UnknownReason::kConnectionLost};
-      case Fate::kQueueFull:
+      case AttemptFate::kQueueFull:
         return NotRun{NotRunReason::kQueueFull, {}};
-      case Fate::kStaleTerm:
+      case AttemptFate::kStaleTerm:
         return NotRun{NotRunReason::kStaleTerm, {}};
-      case Fate::kConflict:
+      case AttemptFate::kConflict:
         if (this->keyed && this->effects > 0) return this->Run();
         return NotRun{NotRunReason::kConflict, {}};
-      case Fate::kMismatch:
+      case AttemptFate::kMismatch:
         if (!this->keyed || this->effects > 0) return this->Run();
         this->key_taken = true;
         return this->Run();
@@ -71,9 +72,9 @@
     return this->Run();
   }
 
-  /// Effects once every late attempt has arrived.
+  /// Number of effects after all attempts in flight have arrived.
   int FinalEffects() {
-    for (; this->on_their_way > 0; --this->on_their_way) this->Run();
+    for (; this->in_flight > 0; --this->in_flight) this->Run();
     return this->effects;
   }
 
@@ -88,21 +89,21 @@
   bool keyed;
   bool key_taken = false;
   int effects = 0;
-  int on_their_way = 0;
+  int in_flight = 0;
 };
 
-// Guards against payouts that run twice and against refusals that say "not
-// run" although the request had or still gets its effect.
+// Guards against writes that run twice, and against requests that are reported
+// as not run although they have had or will still have an effect.
 RC_GTEST_PROP(RetryPolicyProperty, AnyFaults_Report_MatchesTheEffects, ()) {
   const auto request_class = *rc::gen::elementOf(kAllClasses);
-  const auto fates = *rc::gen::container<std::vector<Fate>>(
+  const auto fates = *rc::gen::container<std::vector<AttemptFate>>(
       rc::gen::map(rc::gen::inRange(0, 8),
-                   [](int value) { return static_cast<Fate>(value); }));
+                   [](int value) { return static_cast<AttemptFate>(value); }));
   RetryBudget budget(kStart);
   RetryPolicy policy(request_class, kDeadline);
   EndpointModel endpoint(request_class);
   SteadyTime now = kStart;
-  for (const Fate fate : fates) {
+  for (const AttemptFate fate : fates) {
     const RetryDecision decision =
         policy.Decide(endpoint.Attempt(fate), now, 0.5, budget);
     if (const auto* retry = std::get_if<RetryAfter>(&decision)) {
@@ -117,24 +118,24 @@
     if (std::holds_alternative<Done>(outcome)) RC_ASSERT(effects >= 1);
     break;
   }
-  const bool once = request_class == RequestClass::kKeyedWrite ||
-                    request_class == RequestClass::kUnrepeatableWrite;
-  if (once) RC_ASSERT(endpoint.FinalEffects() <= 1);
+  const bool at_most_once = request_class == RequestClass::kKeyedWrite ||
+                            request_class == RequestClass::kUnrepeatableWrite;
+  if (at_most_once) RC_ASSERT(endpoint.FinalEffects() <= 1);
 }
 
-// Guards against a budget that lets retries multiply the load.
-RC_GTEST_PROP(RetryBudgetProperty, AnyLoad_TryTake_StaysWithinTheBound, ()) {
+// Guards against a budget that allows more retries than its stated limit.
+RC_GTEST_PROP(RetryBudgetProperty, AnyLoad_TryConsume_StaysWithinTheLimit, ()) {
   const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
       rc::gen::pair(rc::gen::inRange(0, 400), rc::gen::inRange(0, 400)));
   RetryBudget budget(kStart);
   SteadyTime now = kStart;
-  double allowed = kMaxSavedRetries;
+  double allowed = kMaxRetryBurst;
   int taken = 0;
-  for (const auto& [pause_ms, requests] : steps) {
-    now += milliseconds(pause_ms);
+  for (const auto& [interval_ms, requests] : steps) {
+    now += milliseconds(interval_ms);
     for (int i = 0; i < requests; ++i) budget.RequestStarted();
-    allowed += 0.003 * pause_ms + 0.1 * requests;
-    while (budget.TryTake(now)) ++taken;
+    allowed += 0.003 * interval_ms + 0.1 * requests;
+    while (budget.TryConsume(now)) ++taken;
     RC_ASSERT(taken <= allowed + 1e-6);
   }
 }
@@ -152,8 +153,9 @@
     return policy.Decide(outcome, now, jitter, this->budget);
   }
 
-  /// Reason of the refusal that the decision reports, if it does.
-  static std::optional<NotRunReason> RefusalIn(const RetryDecision& decision) {
+  /// Reason of the refusal that the decision reports; none for other decisions.
+  static std::optional<NotRunReason> ReportedReason(
+      const RetryDecision& decision) {
     const auto* report = std::get_if<Report>(&decision);
     if (report == nullptr) return std::nullopt;
     const auto* not_run = std::get_if<NotRun>(&report->outcome);
@@ -174,13 +176,13 @@
   RetryBudget budget{kStart};
 };
 
-// Guards against a second payout after a lost answer.
+// Guards against a write that runs again after its answer was lost.
 TEST_F(RetryPolicyTest, UnrepeatableWriteUnknown_Decide_ReportsUnknown) {
   RetryPolicy policy(RequestClass::kUnrepeatableWrite, kDeadline);
   EXPECT_TRUE(ReportsUnknown(this->Decide(policy, Unknown{})));
 }
 
-// Guards against clients that see faults which a retry would hide.
+// Guards against errors that reach the client although a retry is allowed.
 TEST_F(RetryPolicyTest, RepeatableUnknown_Decide_RetriesElsewhere) {
   for (const RequestClass request_class :
        {RequestClass::kRead, RequestClass::kKeyedWrite,
@@ -194,7 +196,7 @@
   }
 }
 
-// Guards against a write that is not retried although it certainly didn't run.
+// Guards against a write that is not retried although it has had no effect.
 TEST_F(RetryPolicyTest, TransientRefusal_Decide_RetriesEveryClass) {
   for (const RequestClass request_class : kAllClasses) {
     RetryPolicy policy(request_class, kDeadline);
@@ -210,20 +212,20 @@
   }
 }
 
-// Guards against a first refusal that reaches the client as unknown.
+// Guards against reporting the first refusal of a request as unknown.
 TEST_F(RetryPolicyTest, FirstRefusal_Decide_StaysNotRun) {
   RetryPolicy final_reason(RequestClass::kKeyedWrite, kDeadline);
-  EXPECT_EQ(
-      RefusalIn(this->Decide(final_reason, Refused(NotRunReason::kConflict))),
-      NotRunReason::kConflict);
+  EXPECT_EQ(ReportedReason(
+                this->Decide(final_reason, Refused(NotRunReason::kConflict))),
+            NotRunReason::kConflict);
   RetryPolicy late(RequestClass::kUnrepeatableWrite, kDeadline);
-  EXPECT_EQ(RefusalIn(this->Decide(late, Refused(NotRunReason::kQueueFull),
-                                   kDeadline)),
+  EXPECT_EQ(ReportedReason(this->Decide(late, Refused(NotRunReason::kQueueFull),
+                                        kDeadline)),
             NotRunReason::kQueueFull);
 }
 
-// Guards against a refusal of a later attempt that hides an earlier one which
-// may have run.
+// Guards against reporting a request as not run because its last attempt was
+// refused, although an earlier attempt may have run.
 TEST_F(RetryPolicyTest, RefusalAfterUnknown_Decide_ReportsUnknown) {
   for (const NotRunReason reason :
        {NotRunReason::kQueueFull, NotRunReason::kConflict,
@@ -235,19 +237,20 @@
   }
 }
 
-// Guards against a mismatch that reaches the client as unknown for ever.
+// Guards against a mismatch that is reported as unknown on every retry of the
+// client.
 TEST_F(RetryPolicyTest, MismatchAfterUnknown_Decide_ReportsOnlyForKeys) {
   const Outcome mismatch = Refused(NotRunReason::kIdempotencyMismatch);
   RetryPolicy keyed(RequestClass::kKeyedWrite, kDeadline);
   EXPECT_TRUE(Retries(this->Decide(keyed, Unknown{})));
-  EXPECT_EQ(RefusalIn(this->Decide(keyed, mismatch)),
+  EXPECT_EQ(ReportedReason(this->Decide(keyed, mismatch)),
             NotRunReason::kIdempotencyMismatch);
   RetryPolicy repeatable(RequestClass::kRepeatableWrite, kDeadline);
   EXPECT_TRUE(Retries(this->Decide(repeatable, Unknown{})));
   EXPECT_TRUE(ReportsUnknown(this->Decide(repeatable, mismatch)));
 }
 
-// Guards against retries that the client no longer waits for.
+// Guards against retries after the client's deadline.
 TEST_F(RetryPolicyTest, DelayReachesDeadline_Decide_Reports) {
   const Outcome busy =
       NotRun{NotRunReason::kQueueFull, Duration(milliseconds(100))};
@@ -262,16 +265,17 @@
   EXPECT_FALSE(Retries(this->Decide(hinted, endless)));
 }
 
-// Guards against a retry storm when the budget is spent.
+// Guards against retries when the budget is exhausted.
 TEST_F(RetryPolicyTest, EmptyBudget_Decide_ReportsTheOutcome) {
-  while (this->budget.TryTake(kStart)) {
+  while (this->budget.TryConsume(kStart)) {
   }
   RetryPolicy policy(RequestClass::kRead, kDeadline);
-  EXPECT_EQ(RefusalIn(this->Decide(policy, Refused(NotRunReason::kLagging))),
-            NotRunReason::kLagging);
+  EXPECT_EQ(
+      ReportedReason(this->Decide(policy, Refused(NotRunReason::kLagging))),
+      NotRunReason::kLagging);
 }
 
-// Guards against clients that retry in step, and against delays without bound.
+// Guards against synchronized retries and against unlimited delays.
 TEST_F(RetryPolicyTest, Jitter_Decide_SpreadsABoundedDelay) {
   RetryPolicy policy(RequestClass::kRead, kStart + seconds(25));
   Duration expected = kFirstRetryDelay;
--- a/Source/UnitTests/Core/Request/session_token_fuzzer.cc
+++ b/Source/UnitTests/Core/Request/session_token_fuzzer.cc
@@ -11,14 +11,14 @@
 const SessionSecrets kSecrets = {"a secret of the fuzzer, 32 bytes long"};
 const common::WorkspaceId kWorkspace("w");
 
-/// Guards against a second text for one token, which would show that the reader
-/// accepts a body that Encode does not write.
+/// Aborts if an accepted text is not the canonical encoding of its token, which
+/// shows that Decode accepts a body that Encode does not write.
 void CheckText(const std::string& text) {
   try {
     const SessionToken token = SessionToken::Decode(text, kSecrets, kWorkspace);
     if (token.Encode(kSecrets) != text) std::abort();
   } catch (const BadSessionTokenError&) {
-    // Refusing the input is correct; any other exception ends the run.
+    // Refusing the input is correct; any other exception is a finding.
   }
 }
 
@@ -30,10 +30,10 @@
 }  // namespace
 }  // namespace camphorferry::request
 
-/// Reads the input as a token, as a body, and as the part of a body after the
-/// workspace. Bodies are signed here, since a fuzzer does not find signatures;
-/// without the given start, a run of a minute missed a padded number that the
-/// reader was made to accept.
+/// Decodes the input as a token, as a body, and as the part of a body after the
+/// workspace. Bodies are signed here, because a fuzzer cannot guess signatures.
+/// Without the fixed start of the body, a run of one minute did not detect a
+/// reader that had been changed to accept padded numbers.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   using camphorferry::request::CheckBody;
--- a/Source/UnitTests/Core/Request/session_token_test.cc
+++ b/Source/UnitTests/Core/Request/session_token_test.cc
@@ -20,19 +20,19 @@
 using common::WorkspaceId;
 
 const SessionSecrets kSecrets = {"the first secret of at least 32 bytes"};
-const WorkspaceId kTrust("trust");
+const WorkspaceId kWorkspace("trust");
 
 std::optional<SessionTokenFault> FaultOf(
     const std::string& text, const SessionSecrets& secrets = kSecrets) {
   try {
-    SessionToken::Decode(text, secrets, kTrust);
+    SessionToken::Decode(text, secrets, kWorkspace);
   } catch (const BadSessionTokenError& error) {
     return error.Fault();
   }
   return std::nullopt;
 }
 
-std::string Signed(const std::string& body) {
+std::string SignAndEncode(const std::string& body) {
   return common::Base64UrlEncode(body + common::HmacSha256(kSecrets[0], body));
 }
 
@@ -44,10 +44,10 @@
     return data.substr(data.size() - 32);
   }
 
-  SessionToken token{kTrust};
+  SessionToken token{kWorkspace};
 };
 
-// Guards against a session that loses sight of its writes between daemons.
+// Guards against a session that loses positions when it changes daemons.
 RC_GTEST_PROP(SessionTokenProperty, AnyToken_RoundTrip_IsEqual,
               (const std::map<std::string,
                               std::pair<std::uint64_t, std::uint64_t>>& entries,
@@ -70,21 +70,21 @@
 // Guards against clients that edit a token to claim another position.
 RC_GTEST_PROP(SessionTokenProperty, AnyChangedByte_Decode_IsRefused,
               (std::uint64_t term, std::uint64_t index)) {
-  SessionToken token(kTrust);
+  SessionToken token(kWorkspace);
   token.Advance(ServiceId("ledger"), {term, index});
   std::string text = token.Encode(kSecrets);
-  const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
-  const char letter = *rc::gen::arbitrary<char>();
-  RC_PRE(text[at] != letter);
-  text[at] = letter;
+  const auto offset = *rc::gen::inRange<std::size_t>(0, text.size());
+  const char replacement = *rc::gen::arbitrary<char>();
+  RC_PRE(text[offset] != replacement);
+  text[offset] = replacement;
   RC_ASSERT(FaultOf(text).has_value());
 }
 
-// Guards against a position that falls behind when responses arrive late.
+// Guards against a position that decreases when responses arrive out of order.
 RC_GTEST_PROP(
     SessionTokenProperty, AnyOrder_Advance_KeepsTheGreatest,
     (const std::vector<std::pair<std::uint8_t, std::uint8_t>>& positions)) {
-  SessionToken token(kTrust);
+  SessionToken token(kWorkspace);
   LogPosition greatest;
   for (const auto& [term, index] : positions) {
     token.Advance(ServiceId("ledger"), {term, index});
@@ -93,7 +93,8 @@
   }
 }
 
-// Guards against the same bytes being read with other field boundaries.
+// Guards against two tokens with the same signed bytes but different field
+// boundaries.
 TEST_F(SessionTokenTest, ShiftedBoundary_Encode_HasAnotherSignature) {
   SessionToken left{WorkspaceId("ab")};
   left.Advance(ServiceId("c"), {1, 1});
@@ -102,14 +103,14 @@
   EXPECT_NE(SignatureOf(left), SignatureOf(right));
 }
 
-// Guards against a token that leaks positions into another workspace.
+// Guards against a token that is accepted in another workspace.
 TEST_F(SessionTokenTest, OtherWorkspace_Decode_IsRefused) {
   const std::string text =
       SessionToken(WorkspaceId("directorate")).Encode(kSecrets);
   EXPECT_EQ(FaultOf(text), SessionTokenFault::kOtherWorkspace);
 }
 
-// Guards against sessions that break when the signing secret is replaced.
+// Guards against sessions that fail while the signing secret is being replaced.
 TEST_F(SessionTokenTest, ReplacedSecret_Decode_AcceptsWhileListed) {
   const std::string text = this->token.Encode(kSecrets);
   EXPECT_EQ(FaultOf(text, {"a newer secret", kSecrets[0]}), std::nullopt);
@@ -128,12 +129,12 @@
   EXPECT_EQ(FaultOf(forged, {""}), SessionTokenFault::kWrongSignature);
 }
 
-// Guards against a signed body of another version that is misread, and against
-// two texts for one token.
+// Guards against a signed body of another format version that is misread, and
+// against more than one accepted encoding of a token.
 TEST_F(SessionTokenTest, NotCanonicalBody_Decode_IsMalformed) {
   const std::string entry("\1s\1\1", 4);
   const std::string head("\1\5trust", 7);
-  EXPECT_EQ(FaultOf(Signed(head + "\1" + entry)), std::nullopt);
+  EXPECT_EQ(FaultOf(SignAndEncode(head + "\1" + entry)), std::nullopt);
   const std::vector<std::string> bodies = {
       std::string("\2\5trust\0", 8),                     // unknown version
       head,                                              // cut off
@@ -145,7 +146,7 @@
       head + "\1\1s\1" + std::string(9, '\xff') + "\2",  // above 64 bits
   };
   for (const std::string& body : bodies) {
-    EXPECT_EQ(FaultOf(Signed(body)), SessionTokenFault::kMalformed)
+    EXPECT_EQ(FaultOf(SignAndEncode(body)), SessionTokenFault::kMalformed)
         << testing::PrintToString(body);
   }
   EXPECT_EQ(FaultOf(""), SessionTokenFault::kMalformed);
@@ -158,13 +159,14 @@
             SessionTokenFault::kTooLong);
 }
 
-// Guards against a token that grows without bound, and against one that
-// Advance accepts but Decode refuses.
+// Guards against a token of unbounded size, and against one that Advance
+// accepts but Decode refuses.
 TEST_F(SessionTokenTest, FullToken_Advance_IsTooWide) {
-  constexpr std::uint64_t kMax = std::numeric_limits<std::uint64_t>::max();
+  constexpr std::uint64_t kMaxUint64 =
+      std::numeric_limits<std::uint64_t>::max();
   for (std::size_t i = 0; i < kMaxSessionServices; ++i) {
     this->token.Advance(ServiceId(std::string(60, 's') + std::to_string(i)),
-                        {kMax, kMax});
+                        {kMaxUint64, kMaxUint64});
   }
   EXPECT_THROW(this->token.Advance(ServiceId("one-more"), {1, 1}),
                SessionTooWideError);
