--- a/Source/Core/Version/apply.cc
+++ b/Source/Core/Version/apply.cc
@@ -7,12 +7,13 @@
 
 namespace {
 
-// Versions that are tried to tell why a plan is stale. The reason is only for
-// the message, so an older plan may go unexplained.
-constexpr ConfigurationVersion kExplainedVersions = 1024;
+// Number of older versions that are tried to find the base version of a stale
+// plan. Only the error message depends on it, so older plans can be left out.
+constexpr ConfigurationVersion kMaxSearchedVersions = 1024;
 
-/// Version that an applied plan produced. Each accepted plan adds one version
-/// and one digest, so the digest's distance from the newest one gives it.
+/// Version that an applied plan produced; none if the digest is not in the
+/// list. Each applied plan adds one version and one digest, so the version
+/// follows from the digest's distance to the newest one.
 std::optional<ConfigurationVersion> VersionOfAppliedPlan(
     const Configuration& current, const std::string& digest) {
   const auto newest = current.applied_plans.rbegin();
@@ -23,14 +24,15 @@
   return current.version - distance;
 }
 
-/// Version that a stale plan was made against, if it is a recent one.
+/// Version that a stale plan was made against; none if that is not among the
+/// last kMaxSearchedVersions or if the declarations differ.
 std::optional<ConfigurationVersion> BaseVersionOf(const Configuration& current,
                                                   const Configuration& declared,
                                                   const std::string& digest) {
-  const ConfigurationVersion tried =
-      std::min(current.version, kExplainedVersions);
+  const ConfigurationVersion searched =
+      std::min(current.version, kMaxSearchedVersions);
   const PlanDigester digester(declared);
-  for (ConfigurationVersion back = 1; back <= tried; ++back) {
+  for (ConfigurationVersion back = 1; back <= searched; ++back) {
     const ConfigurationVersion version = current.version - back;
     if (digester.DigestAgainst(version) == digest) return version;
   }
@@ -45,7 +47,7 @@
   if (!base.has_value()) {
     return StalePlan{DeclarationsDiffer{}, current.version};
   }
-  return StalePlan{BaseVersionMoved{*base}, current.version};
+  return StalePlan{BaseVersionOutdated{*base}, current.version};
 }
 
 Configuration NextConfiguration(const Configuration& current,
@@ -55,11 +57,10 @@
   next.version = current.version + 1;
   next.applied_plans = current.applied_plans;
   next.applied_plans.push_back(digest);
-  if (next.applied_plans.size() > kKeptAppliedPlans) {
-    next.applied_plans.erase(
-        next.applied_plans.begin(),
-        next.applied_plans.end() -
-            static_cast<std::ptrdiff_t>(kKeptAppliedPlans));
+  if (next.applied_plans.size() > kMaxAppliedPlans) {
+    next.applied_plans.erase(next.applied_plans.begin(),
+                             next.applied_plans.end() -
+                                 static_cast<std::ptrdiff_t>(kMaxAppliedPlans));
   }
   return next;
 }
@@ -72,10 +73,11 @@
   const std::optional<ConfigurationVersion> applied =
       VersionOfAppliedPlan(current, confirmed_digest);
   if (applied.has_value()) {
-    // An operator who edits the files and confirms the old digest again must
-    // not read that the edited files are in force.
-    const bool same = PlanDigest(*applied - 1, declared) == confirmed_digest;
-    if (same) return AlreadyApplied{*applied};
+    // If the files were edited after the plan was applied, confirming the old
+    // digest again must not report that the edited files are in force.
+    const bool same_declarations =
+        PlanDigest(*applied - 1, declared) == confirmed_digest;
+    if (same_declarations) return AlreadyApplied{*applied};
     return StalePlan{DeclarationsDiffer{}, current.version};
   }
   const Plan plan = MakePlan(current, declared);
--- a/Source/Core/Version/apply.h
+++ b/Source/Core/Version/apply.h
@@ -9,35 +9,37 @@
 
 namespace camphorferry::version {
 
-/// Plans that stay recognizable for a repeated confirmation. An operator
-/// repeats within minutes; 64 plans cover several at the expected rate of
-/// 17,000 a day.
-inline constexpr std::size_t kKeptAppliedPlans = 64;
+/// Number of applied plans whose digests are kept to recognize a repeated
+/// confirmation. Operators repeat a confirmation within minutes. At the
+/// expected rate of 17,000 plans per day, 64 plans cover about five minutes.
+inline constexpr std::size_t kMaxAppliedPlans = 64;
 
-/// The confirmed plan was put in force by an earlier confirmation, or it
-/// changes nothing.
+/// The confirmed plan was already applied by an earlier confirmation, or it
+/// contains no changes.
 struct AlreadyApplied {
-  /// Version that the plan produced.
+  /// Version that applying the plan produced, or the current one if the plan
+  /// contains no changes.
   ConfigurationVersion version = 0;
 };
 
-/// The plan was made against an older version.
-struct BaseVersionMoved {
-  ConfigurationVersion planned_against = 0;
+/// The plan was made against an older version of the configuration.
+struct BaseVersionOutdated {
+  ConfigurationVersion base_version = 0;
 };
 
-/// The confirmed digest belongs to other declarations, or to a plan too old to
-/// tell.
+/// The confirmed digest belongs to other declarations, or to a plan that is too
+/// old to be identified.
 struct DeclarationsDiffer {};
 
-/// What was confirmed is not what would happen now; a new plan is needed.
+/// The confirmed plan no longer matches the configuration in the store or the
+/// declarations; a new plan is needed.
 struct StalePlan {
-  std::variant<BaseVersionMoved, DeclarationsDiffer> reason;
+  std::variant<BaseVersionOutdated, DeclarationsDiffer> reason;
   ConfigurationVersion current_version = 0;
 };
 
-/// The configuration to write, on condition that the store still holds version
-/// `next.version - 1`.
+/// The configuration to write by a conditional update, which must fail unless
+/// the store still holds version `next.version - 1`.
 struct WriteConfiguration {
   Configuration next;
 };
@@ -45,11 +47,12 @@
 using ApplyDecision =
     std::variant<AlreadyApplied, StalePlan, WriteConfiguration>;
 
-/// Decides about a confirmation against the configuration in the store. Every
-/// write must come from here, since a repeated confirmation is recognized by
-/// its place in the list of applied plans. When the conditional update fails or
-/// its answer is lost, the caller reads the store and decides again. The
-/// declared configuration must have passed CheckConfiguration.
+/// Decides whether a confirmed plan is to be written, given the configuration
+/// in the store. Every write must be decided here, because the version of a
+/// repeated confirmation is derived from its position in the list of applied
+/// plans. If the conditional update fails or its answer is lost, the caller
+/// must read the store and decide again. The declared configuration must have
+/// passed CheckConfiguration.
 ApplyDecision DecideApply(const Configuration& current,
                           const Configuration& declared,
                           const std::string& confirmed_digest);
--- a/Source/Core/Version/configuration.h
+++ b/Source/Core/Version/configuration.h
@@ -12,16 +12,17 @@
 
 namespace camphorferry::version {
 
-/// Version of the configuration; each accepted plan raises it.
+/// Version of the configuration; each applied plan increments it.
 using ConfigurationVersion = std::uint64_t;
 
-/// Limits and weight of one workspace over the whole fleet.
+/// Rate limit and weight of one workspace for the whole fleet of daemons.
 struct Workspace {
   /// Requests per second.
   std::uint32_t rate = 0;
-  /// Requests above the rate that may come at once.
+  /// Capacity of the token bucket: requests that may exceed the rate at once.
   std::uint32_t burst = 0;
-  /// Share of scarce slots relative to other workspaces.
+  /// Share of the endpoints' slots under contention, relative to the weights of
+  /// other workspaces.
   std::uint32_t weight = 1;
 
   bool operator==(const Workspace&) const = default;
@@ -37,18 +38,18 @@
   bool operator==(const Endpoint&) const = default;
 };
 
-/// A database group.
+/// A group of replicated databases.
 struct Service {
   std::vector<Endpoint> endpoints;
-  /// Statements that each endpoint runs at once.
+  /// Number of statements that each endpoint runs concurrently.
   std::uint32_t slots = 1;
-  /// Connections that each endpoint accepts.
+  /// Number of connections that each endpoint accepts.
   std::uint32_t connections = 4;
 
   bool operator==(const Service&) const = default;
 };
 
-/// Name that clients use for a service, and who may use it.
+/// Name under which clients use a service, and the workspaces that may use it.
 struct Route {
   common::ServiceId service;
   /// An open route needs no key.
@@ -58,16 +59,17 @@
   bool operator==(const Route&) const = default;
 };
 
-/// A client's key; only its SHA-256 digest is kept.
+/// A client's API key, of which only the SHA-256 digest is stored.
 struct Key {
   common::WorkspaceId workspace;
-  /// 64 hexadecimal digits.
+  /// 64 lower-case hexadecimal digits.
   std::string digest;
 
   bool operator==(const Key&) const = default;
 };
 
-/// A failure domain and its part of the rate slots.
+/// A failure domain and the number of its rate slots. The rates of workspaces
+/// are divided among the rate slots of all domains.
 struct FailureDomain {
   common::RegionId region;
   std::uint32_t rate_slots = 1;
@@ -75,7 +77,7 @@
   bool operator==(const FailureDomain&) const = default;
 };
 
-/// Everything that operators have declared, at one version.
+/// One version of everything that operators have declared.
 struct Configuration {
   ConfigurationVersion version = 0;
   std::map<common::WorkspaceId, Workspace> workspaces;
@@ -83,8 +85,8 @@
   std::map<common::RouteId, Route> routes;
   std::map<common::KeyId, Key> keys;
   std::map<common::FailureDomainId, FailureDomain> domains;
-  /// Digests of the latest plans in force, newest last, so that a repeated
-  /// confirmation whose answer was lost is recognized.
+  /// Digests of the last applied plans, newest last. They identify a repeated
+  /// confirmation whose first answer was lost.
   std::vector<std::string> applied_plans;
 
   bool operator==(const Configuration&) const = default;
--- a/Source/Core/Version/configuration_check.cc
+++ b/Source/Core/Version/configuration_check.cc
@@ -10,10 +10,10 @@
 
 using common::FaultKind;
 
-/// Collects the issues of one configuration.
-class Checker {
+/// Collects the issues of one configuration. Run can be called once.
+class ConfigurationChecker {
  public:
-  explicit Checker(const Configuration& configuration)
+  explicit ConfigurationChecker(const Configuration& configuration)
       : configuration(configuration) {}
 
   std::vector<ConfigurationIssue> Run() && {
@@ -45,11 +45,10 @@
   }
 
   void CheckRange(const std::string& object, const std::string& field,
-                  std::uint32_t value, std::uint32_t smallest,
-                  std::uint32_t largest) {
-    if (value >= smallest && value <= largest) return;
+                  std::uint32_t value, std::uint32_t min, std::uint32_t max) {
+    if (value >= min && value <= max) return;
     this->Add(FaultKind::kNotAllowed, object, field, std::to_string(value),
-              std::to_string(smallest) + " to " + std::to_string(largest));
+              std::to_string(min) + " to " + std::to_string(max));
   }
 
   void CheckWorkspace(const std::string& object, const Workspace& workspace) {
@@ -109,7 +108,8 @@
     this->CheckReference(object, "workspace", key.workspace,
                          this->configuration.workspaces,
                          "a declared workspace");
-    // Two keys with one digest would make the key's workspace ambiguous.
+    // If two keys had the same digest, the workspace of a presented key would
+    // be ambiguous.
     if (!this->key_digests.insert(key.digest).second) {
       this->Add(FaultKind::kDuplicate, object, "digest", key.digest,
                 "each digest once");
@@ -144,7 +144,7 @@
 
 std::vector<ConfigurationIssue> CheckConfiguration(
     const Configuration& configuration) {
-  return Checker(configuration).Run();
+  return ConfigurationChecker(configuration).Run();
 }
 
 common::Fault ToFault(const ConfigurationIssue& issue) {
--- a/Source/Core/Version/configuration_check.h
+++ b/Source/Core/Version/configuration_check.h
@@ -10,26 +10,27 @@
 
 namespace camphorferry::version {
 
-/// Largest rate and burst: twice the statements per second of the whole fleet.
+/// Maximum rate and burst: twice the statements per second of the whole fleet.
 inline constexpr std::uint32_t kMaxRate = 10'000'000;
 inline constexpr std::uint32_t kMaxWeight = 1000;
 inline constexpr std::uint32_t kMaxRateSlots = 10'000;
 inline constexpr std::uint32_t kMaxSlots = 10'000;
-/// Two daemons that both believe they own an endpoint open connections / 4 + 1
-/// each and replication opens 2, which fits from 8 on.
+/// Two daemons may both act as the owner of an endpoint. Each then opens
+/// connections / 4 + 1 connections and replication opens 2, so that all are
+/// accepted if `connections` is at least 8.
 inline constexpr std::uint32_t kMinConnections = 8;
 inline constexpr std::uint32_t kMaxConnections = 100'000;
-/// Fences and acknowledgements rely on majorities of exactly three.
+/// Fencing and acknowledgement require a majority of exactly three endpoints.
 inline constexpr std::size_t kEndpointsPerService = 3;
-/// Largest value that the store holds.
+/// Maximum size of a document in the store.
 inline constexpr std::size_t kMaxDocumentBytes = 1'000'000;
 
-/// A declared value that makes no sense by itself or together with others.
+/// A declared value that is out of range or inconsistent with other values.
 struct ConfigurationIssue {
   common::FaultKind kind = common::FaultKind::kNotAllowed;
-  /// Dotted name of the object, such as "service.ledger-1.endpoint[0]".
+  /// Dotted path of the object, such as "service.ledger-1.endpoint[0]".
   std::string object;
-  /// Field of the object; empty if the object as a whole is meant.
+  /// Field of the object; empty if the issue concerns the whole object.
   std::string field;
   std::string found;
   std::string allowed;
@@ -37,12 +38,12 @@
   bool operator==(const ConfigurationIssue&) const = default;
 };
 
-/// Checks ranges and references; an empty list means that the configuration may
-/// be put in force.
+/// Checks ranges, references and the size of the document. The configuration is
+/// valid if the result is empty.
 std::vector<ConfigurationIssue> CheckConfiguration(
     const Configuration& configuration);
 
-/// The issue as a fault without a place in a file.
+/// Converts the issue to a fault without file and line.
 common::Fault ToFault(const ConfigurationIssue& issue);
 
 }  // namespace camphorferry::version
--- a/Source/Core/Version/configuration_json.cc
+++ b/Source/Core/Version/configuration_json.cc
@@ -10,7 +10,8 @@
 
 using nlohmann::json;
 
-/// Reads the fields of one object and reports faults with their place.
+/// Reads the fields of one JSON object and throws BadConfigurationError with
+/// the path of a faulty field.
 class ObjectReader {
  public:
   ObjectReader(const json& object, std::string path)
@@ -101,7 +102,7 @@
     return static_cast<Number>(number);
   }
 
-  void AllowOnly(std::initializer_list<std::string_view> names) const {
+  void RejectFieldsExcept(std::initializer_list<std::string_view> names) const {
     for (const auto& [name, value] : this->object.items()) {
       bool known = false;
       for (const std::string_view allowed : names) known |= name == allowed;
@@ -109,7 +110,7 @@
     }
   }
 
-  /// Reads a field that holds one object for each name.
+  /// Reads a field whose value maps names to objects.
   template <typename Id, typename Value, typename Read>
   std::map<Id, Value> Map(const std::string& name, Read read) const {
     const ObjectReader members = this->Object(name);
@@ -130,26 +131,27 @@
 };
 
 Workspace ReadWorkspace(const ObjectReader& reader) {
-  reader.AllowOnly({"rate", "burst", "weight"});
+  reader.RejectFieldsExcept({"rate", "burst", "weight"});
   return Workspace{reader.Unsigned<std::uint32_t>("rate"),
                    reader.Unsigned<std::uint32_t>("burst"),
                    reader.Unsigned<std::uint32_t>("weight")};
 }
 
 Endpoint ReadEndpoint(const ObjectReader& reader) {
-  reader.AllowOnly({"id", "address", "domain"});
+  reader.RejectFieldsExcept({"id", "address", "domain"});
   return Endpoint{reader.Name<common::EndpointId>("id"),
                   reader.Address("address"),
                   reader.Name<common::FailureDomainId>("domain")};
 }
 
 Service ReadService(const ObjectReader& reader) {
-  reader.AllowOnly({"endpoints", "slots", "connections"});
+  reader.RejectFieldsExcept({"endpoints", "slots", "connections"});
   Service service;
   for (const json& endpoint : reader.List("endpoints")) {
-    const std::string place =
+    const std::string endpoint_path =
         reader.PathOf("endpoints/" + std::to_string(service.endpoints.size()));
-    service.endpoints.push_back(ReadEndpoint(ObjectReader(endpoint, place)));
+    service.endpoints.push_back(
+        ReadEndpoint(ObjectReader(endpoint, endpoint_path)));
   }
   service.slots = reader.Unsigned<std::uint32_t>("slots");
   service.connections = reader.Unsigned<std::uint32_t>("connections");
@@ -157,7 +159,7 @@
 }
 
 Route ReadRoute(const ObjectReader& reader) {
-  reader.AllowOnly({"service", "open", "workspaces"});
+  reader.RejectFieldsExcept({"service", "open", "workspaces"});
   Route route;
   route.service = reader.Name<common::ServiceId>("service");
   route.open = reader.Boolean("open");
@@ -171,13 +173,13 @@
 }
 
 Key ReadKey(const ObjectReader& reader) {
-  reader.AllowOnly({"workspace", "digest"});
+  reader.RejectFieldsExcept({"workspace", "digest"});
   return Key{reader.Name<common::WorkspaceId>("workspace"),
              reader.DigestOf(reader.Required("digest"), "digest")};
 }
 
 FailureDomain ReadDomain(const ObjectReader& reader) {
-  reader.AllowOnly({"region", "rate_slots"});
+  reader.RejectFieldsExcept({"region", "rate_slots"});
   return FailureDomain{reader.Name<common::RegionId>("region"),
                        reader.Unsigned<std::uint32_t>("rate_slots")};
 }
@@ -282,8 +284,8 @@
 
 Configuration ConfigurationFromJson(const json& document) {
   const ObjectReader reader(document, "");
-  reader.AllowOnly({"version", "applied_plans", "workspaces", "services",
-                    "routes", "keys", "domains"});
+  reader.RejectFieldsExcept({"version", "applied_plans", "workspaces",
+                             "services", "routes", "keys", "domains"});
   Configuration configuration = ReadDeclarations(reader);
   configuration.version = reader.Unsigned<ConfigurationVersion>("version");
   for (const json& digest : reader.List("applied_plans")) {
@@ -311,7 +313,8 @@
 
 Configuration DeclarationsFromJson(const json& document) {
   const ObjectReader reader(document, "");
-  reader.AllowOnly({"workspaces", "services", "routes", "keys", "domains"});
+  reader.RejectFieldsExcept(
+      {"workspaces", "services", "routes", "keys", "domains"});
   return ReadDeclarations(reader);
 }
 
--- a/Source/Core/Version/configuration_json.h
+++ b/Source/Core/Version/configuration_json.h
@@ -22,16 +22,16 @@
   kDuplicate,
 };
 
-/// Name of a fault, as in messages and counters.
+/// Name of a fault in error messages and counters.
 std::string_view ToString(DocumentFault fault);
 
-/// A document is not a configuration.
+/// A document is not a valid configuration.
 class BadConfigurationError : public common::Error {
  public:
   BadConfigurationError(DocumentFault fault, const std::string& path);
 
   DocumentFault Fault() const { return this->fault; }
-  /// Place in the document, such as "services/ledger-1/slots".
+  /// Path of the faulty field, such as "services/ledger-1/slots".
   const std::string& Path() const { return this->path; }
 
  private:
@@ -39,24 +39,27 @@
   std::string path;
 };
 
-/// The document that is kept in the store and passed between daemons.
+/// Converts a configuration to the document that is kept in the store and sent
+/// between daemons.
 nlohmann::json ConfigurationToJson(const Configuration& configuration);
 
-/// Reads the document; throws BadConfigurationError. Unknown fields are faults,
-/// since a daemon that ignored one would enforce something else than declared.
+/// Converts a document to a configuration; throws BadConfigurationError.
+/// Unknown fields are refused, because a daemon that ignored one would not
+/// enforce what was declared.
 Configuration ConfigurationFromJson(const nlohmann::json& document);
 
-/// Reads the document's text; throws BadConfigurationError.
+/// Parses the text of a document; throws BadConfigurationError.
 Configuration ParseConfiguration(std::string_view text);
 
-/// The document without version and applied plans: what operators declare.
+/// Converts only what operators declare: the document without version and
+/// applied plans.
 nlohmann::json DeclarationsToJson(const Configuration& configuration);
 
-/// Reads declarations; version and applied plans of the result are empty.
-/// Throws BadConfigurationError.
+/// Converts declarations to a configuration with version 0 and no applied
+/// plans. Throws BadConfigurationError.
 Configuration DeclarationsFromJson(const nlohmann::json& document);
 
-/// The objects as they stand in the document.
+/// Convert single objects to their form in the document.
 nlohmann::json ToJson(const Workspace& workspace);
 nlohmann::json ToJson(const Service& service);
 nlohmann::json ToJson(const Route& route);
--- a/Source/Core/Version/configuration_tracker.cc
+++ b/Source/Core/Version/configuration_tracker.cc
@@ -7,13 +7,13 @@
 OfferResult ConfigurationTracker::Offer(ConfigurationPointer offered) {
   const ConfigurationVersion version =
       offered == nullptr ? 0 : offered->version;
-  const ConfigurationVersion held = this->Version();
-  if (version < held) return OfferOlder{version, held};
-  if (version > held) {
+  const ConfigurationVersion in_force = this->Version();
+  if (version < in_force) return OfferOlder{version, in_force};
+  if (version > in_force) {
     this->current = std::move(offered);
     return OfferAccepted{version};
   }
-  if (version == 0 || *offered == *this->current) return OfferAlreadyHeld{};
+  if (version == 0 || *offered == *this->current) return OfferAlreadyInForce{};
   return OfferConflict{version};
 }
 
@@ -31,7 +31,7 @@
     return !peers.contains(entry.first);
   });
   for (const common::HostId& peer : peers) {
-    this->peers.try_emplace(peer, PeerState::kNotAsked);
+    this->peers.try_emplace(peer, PeerState::kNotQueried);
   }
   this->UpdateReady();
 }
@@ -46,7 +46,7 @@
 
 void ConfigurationTracker::StoreSilent() {
   if (this->store == StoreState::kAnswered) return;
-  this->store = StoreState::kSilent;
+  this->store = StoreState::kUnavailable;
   this->UpdateReady();
 }
 
@@ -54,32 +54,34 @@
     const common::HostId& peer, ConfigurationPointer configuration) {
   const bool empty = configuration == nullptr || configuration->version == 0;
   const OfferResult result = this->Offer(std::move(configuration));
-  this->SetPeerState(peer, empty ? PeerState::kEmpty : PeerState::kAnswered);
+  this->SetPeerState(
+      peer, empty ? PeerState::kNoConfiguration : PeerState::kAnswered);
   return result;
 }
 
 void ConfigurationTracker::PeerSilent(const common::HostId& peer) {
-  this->SetPeerState(peer, PeerState::kSilent);
+  this->SetPeerState(peer, PeerState::kUnavailable);
 }
 
 std::vector<common::HostId> ConfigurationTracker::PeersToAsk() const {
-  std::vector<common::HostId> missing;
-  if (this->ready || this->store != StoreState::kSilent) return missing;
-  const bool all_asked = this->PeersAsked();
+  std::vector<common::HostId> to_query;
+  if (this->ready || this->store != StoreState::kUnavailable) return to_query;
+  const bool all_queried = this->AllPeersQueried();
   for (const auto& [peer, state] : this->peers) {
-    // When nobody had a configuration, everybody is asked again.
-    const bool again = all_asked && state != PeerState::kAnswered;
-    if (state == PeerState::kNotAsked || again) missing.push_back(peer);
+    // If no peer had a configuration, all are queried again.
+    const bool again = all_queried && state != PeerState::kAnswered;
+    if (state == PeerState::kNotQueried || again) to_query.push_back(peer);
   }
-  return missing;
+  return to_query;
 }
 
 void ConfigurationTracker::SetPeerState(const common::HostId& peer,
                                         PeerState state) {
   const auto found = this->peers.find(peer);
-  // Peers of other domains offer configurations but do not count here.
+  // Configurations of peers in other domains are accepted, but those peers do
+  // not affect readiness.
   if (found == this->peers.end()) return;
-  // A peer that answered once was asked; later silence changes nothing.
+  // Once a peer has sent a configuration, a later time-out has no effect.
   if (found->second == PeerState::kAnswered) return;
   found->second = state;
   this->UpdateReady();
@@ -87,24 +89,24 @@
 
 void ConfigurationTracker::UpdateReady() {
   if (this->store == StoreState::kAnswered) this->ready = true;
-  if (this->store == StoreState::kSilent && this->PeersSuffice()) {
+  if (this->store == StoreState::kUnavailable && this->PeerAnswersSuffice()) {
     this->ready = true;
   }
 }
 
-bool ConfigurationTracker::PeersAsked() const {
+bool ConfigurationTracker::AllPeersQueried() const {
   for (const auto& [peer, state] : this->peers) {
-    if (state == PeerState::kNotAsked) return false;
+    if (state == PeerState::kNotQueried) return false;
   }
   return true;
 }
 
-bool ConfigurationTracker::PeersSuffice() const {
+bool ConfigurationTracker::PeerAnswersSuffice() const {
   bool answered = false;
   for (const auto& [peer, state] : this->peers) {
     answered |= state == PeerState::kAnswered;
   }
-  return answered && this->PeersAsked();
+  return answered && this->AllPeersQueried();
 }
 
 }  // namespace camphorferry::version
--- a/Source/Core/Version/configuration_tracker.h
+++ b/Source/Core/Version/configuration_tracker.h
@@ -11,86 +11,94 @@
 
 namespace camphorferry::version {
 
-/// A configuration that several tasks share and none changes.
+/// An immutable configuration that several tasks share.
 using ConfigurationPointer = std::shared_ptr<const Configuration>;
 
-/// The offered configuration is in force from now on.
+/// The offered configuration is newer and was put in force.
 struct OfferAccepted {
   ConfigurationVersion version = 0;
 };
 
-/// The offered configuration is already in force.
-struct OfferAlreadyHeld {};
+/// The offered configuration was already in force.
+struct OfferAlreadyInForce {};
 
 /// The offered configuration is older than the one in force.
 struct OfferOlder {
   ConfigurationVersion offered = 0;
-  ConfigurationVersion held = 0;
+  ConfigurationVersion in_force = 0;
 };
 
-/// Two configurations have the same version and different content. Conditional
-/// updates in the store rule this out; the one held first stays in force.
+/// The offered configuration has the version of the one in force but different
+/// content, which conditional updates of the store should prevent. The one that
+/// was offered first stays in force.
 struct OfferConflict {
   ConfigurationVersion version = 0;
 };
 
 using OfferResult =
-    std::variant<OfferAccepted, OfferAlreadyHeld, OfferOlder, OfferConflict>;
+    std::variant<OfferAccepted, OfferAlreadyInForce, OfferOlder, OfferConflict>;
 
-/// Decides which configuration is in force and when a starting daemon may
-/// serve. The highest version that was ever offered wins, whoever offers it and
-/// in whatever order; a lower one never replaces it.
+/// Tracks which configuration is in force and decides when a starting daemon
+/// may serve requests. The highest version that was ever offered is in force,
+/// regardless of its source and the order of the offers.
 class ConfigurationTracker {
  public:
-  /// Offers a configuration from the store, a peer or the start; an empty
-  /// pointer or version 0 offers nothing.
+  /// Puts the configuration in force if its version is higher than that of the
+  /// current one. A null pointer counts as version 0, which is never put in
+  /// force.
   OfferResult Offer(ConfigurationPointer offered);
 
-  /// The configuration in force; empty before the first offer.
+  /// The configuration in force; null before the first offer.
   const ConfigurationPointer& Current() const { return this->current; }
 
   /// Version in force; 0 before the first offer.
   ConfigurationVersion Version() const;
 
-  /// True if a peer that reports this version has a newer configuration.
+  /// True if the version that a peer reports is newer than the one in force.
   bool IsBehind(ConfigurationVersion reported) const;
 
-  /// Peers of the daemon's own failure domain. Results of peers that stay are
-  /// kept.
+  /// Sets the peers in the daemon's own failure domain. The states of peers
+  /// that remain in the set are kept.
   void SetDomainPeers(const std::set<common::HostId>& peers);
 
-  /// The store answered; empty if it holds no configuration.
+  /// Records an answer of the store; null if it holds no configuration.
   OfferResult StoreAnswered(ConfigurationPointer configuration);
 
-  /// The store did not answer in time or reported an error.
+  /// Records that the store did not answer in time or reported an error.
   void StoreSilent();
 
-  /// A peer answered; empty if it has no configuration itself. Such an answer
-  /// does not make this daemon ready, since the peer may be starting as well.
+  /// Records an answer of a peer; null if the peer has no configuration. Such
+  /// an answer does not make this daemon ready, because the peer may be
+  /// starting as well.
   OfferResult PeerAnswered(const common::HostId& peer,
                            ConfigurationPointer configuration);
 
-  /// A peer did not answer in time.
+  /// Records that a peer did not answer in time.
   void PeerSilent(const common::HostId& peer);
 
-  /// Peers to ask now; empty while the store may still answer and once the
-  /// daemon is ready. When all were asked and none sent a configuration, all
-  /// are asked again.
+  /// Peers to query now; empty while the answer of the store is pending and
+  /// once the daemon is ready. If all peers were queried and none of them sent
+  /// a configuration, all are queried again.
   std::vector<common::HostId> PeersToAsk() const;
 
-  /// True once the store answered, or once the store was silent, every peer of
-  /// the own domain was asked and at least one sent a configuration. Stays
-  /// true.
+  /// True once the store has answered, or once the store is unavailable, every
+  /// peer in the daemon's own domain has been queried, and at least one of them
+  /// has sent a configuration. Never becomes false again.
   bool Ready() const { return this->ready; }
 
  private:
-  enum class StoreState { kPending, kSilent, kAnswered };
-  enum class PeerState { kNotAsked, kSilent, kEmpty, kAnswered };
+  enum class StoreState { kPending, kUnavailable, kAnswered };
+  enum class PeerState {
+    kNotQueried,
+    kUnavailable,
+    kNoConfiguration,
+    kAnswered
+  };
 
   void SetPeerState(const common::HostId& peer, PeerState state);
   void UpdateReady();
-  bool PeersAsked() const;
-  bool PeersSuffice() const;
+  bool AllPeersQueried() const;
+  bool PeerAnswersSuffice() const;
 
   ConfigurationPointer current;
   StoreState store = StoreState::kPending;
--- a/Source/Core/Version/declarations.cc
+++ b/Source/Core/Version/declarations.cc
@@ -26,7 +26,8 @@
 constexpr TextRule kName{common::IsName, common::kNameRule};
 constexpr TextRule kAddress{common::IsIpAndPort, common::kIpAndPortRule};
 constexpr TextRule kDigest{common::IsSha256Hex, common::kSha256HexRule};
-// The allowed ranges are in CheckConfiguration, which daemons apply as well.
+// The allowed ranges are checked by CheckConfiguration, which daemons call as
+// well.
 constexpr IntegerRule kUnsigned{0, std::numeric_limits<std::uint32_t>::max()};
 constexpr std::uint32_t kDefaultWeight = 1;
 
@@ -35,8 +36,8 @@
   return static_cast<std::uint32_t>(table->Integer(key, kUnsigned, fallback));
 }
 
-/// Reads all files into one configuration and remembers where each object
-/// stands, so that faults found afterwards name file and line.
+/// Merges all files into one configuration and records where each object was
+/// declared, so that faults found afterwards are reported with file and line.
 class DeclarationReader {
  public:
   explicit DeclarationReader(FaultList* faults) : faults(faults) {}
@@ -60,19 +61,20 @@
     root.ReportUnknownKeys();
   }
 
-  /// Reports what the files say together that makes no sense.
-  void CheckTogether() {
-    const std::set<std::string> known_faults = this->FaultyKeys();
+  /// Checks the merged configuration and reports its faults.
+  void CheckMerged() {
+    const std::set<std::string> faulty_keys = this->FaultyKeys();
     for (const ConfigurationIssue& issue :
          CheckConfiguration(this->configuration)) {
-      // A faulty entry reads as an empty value, which is no second fault.
-      if (known_faults.contains(ToFault(issue).key)) continue;
-      const auto place = this->places.find(issue.object);
-      if (place == this->places.end()) {
+      // A faulty entry was read as an empty value, which must not be reported
+      // as a second fault.
+      if (faulty_keys.contains(ToFault(issue).key)) continue;
+      const auto declaring_table = this->declaring_tables.find(issue.object);
+      if (declaring_table == this->declaring_tables.end()) {
         this->faults->push_back(ToFault(issue));
       } else {
-        place->second.Report(issue.kind, issue.field, issue.found,
-                             issue.allowed);
+        declaring_table->second.Report(issue.kind, issue.field, issue.found,
+                                       issue.allowed);
       }
     }
   }
@@ -95,12 +97,12 @@
         this->ReportDuplicate(&table);
         continue;
       }
-      this->places.emplace(table.Path(), table);
+      this->declaring_tables.emplace(table.Path(), table);
     }
   }
 
   void ReportDuplicate(TomlTable* table) {
-    const TomlTable& first = this->places.at(table->Path());
+    const TomlTable& first = this->declaring_tables.at(table->Path());
     table->Report(FaultKind::kDuplicate, "", "a second declaration",
                   "one declaration, the first is at " + first.File() + ":" +
                       std::to_string(first.LineOf("")));
@@ -121,7 +123,7 @@
                    entry.Text("address", kAddress),
                    common::FailureDomainId(entry.Text("domain", kName))});
       entry.ReportUnknownKeys();
-      this->places.emplace(entry.Path(), entry);
+      this->declaring_tables.emplace(entry.Path(), entry);
     }
     return service;
   }
@@ -156,13 +158,14 @@
   }
 
   FaultList* faults;
-  /// Kept for the places; a list does not move its members.
+  /// The TomlTables refer to these. A list does not move its elements.
   std::list<toml::table> roots;
-  std::map<std::string, TomlTable> places;
+  /// Table in which each object is declared, by the path of the object.
+  std::map<std::string, TomlTable> declaring_tables;
   Configuration configuration;
 };
 
-/// The file itself, or the declaration files of a directory in name order.
+/// The file itself, or the declaration files of a directory sorted by name.
 std::vector<std::filesystem::path> FilesOf(const std::filesystem::path& source,
                                            FaultList* faults) {
   std::error_code error;
@@ -189,13 +192,14 @@
                         const std::vector<DeclarationText>& texts) {
   DeclarationReader reader(&faults);
   for (const DeclarationText& text : texts) reader.ReadFile(text);
-  const auto missing = [](const Fault& fault) {
+  const auto is_unread_file = [](const Fault& fault) {
     return fault.kind == FaultKind::kUnreadableFile ||
            fault.kind == FaultKind::kSyntax;
   };
-  // A whole file that is missing would make every reference to it a fault.
-  if (!std::any_of(faults.begin(), faults.end(), missing)) {
-    reader.CheckTogether();
+  // Without the content of an unreadable file, every reference to its objects
+  // would be reported as a fault.
+  if (!std::any_of(faults.begin(), faults.end(), is_unread_file)) {
+    reader.CheckMerged();
   }
   if (!faults.empty()) throw DeclarationsError(std::move(faults));
   return reader.Result();
--- a/Source/Core/Version/declarations.h
+++ b/Source/Core/Version/declarations.h
@@ -9,25 +9,25 @@
 
 namespace camphorferry::version {
 
-/// Declaration files have faults.
+/// Declaration files are invalid.
 class DeclarationsError : public common::FaultListError {
  public:
   using FaultListError::FaultListError;
 };
 
-/// The text of one declaration file.
+/// Name and content of one declaration file.
 struct DeclarationText {
   std::string file;
   std::string text;
 };
 
-/// Reads declarations from files and from the *.toml files of directories, and
-/// checks them as a whole; throws DeclarationsError with every fault of every
-/// file. Version and applied plans of the result are empty.
+/// Reads declarations from files and from the *.toml files of directories,
+/// merges them and checks the result. Throws DeclarationsError with all faults
+/// of all files. The result has version 0 and no applied plans.
 Configuration ReadDeclarations(
     const std::vector<std::filesystem::path>& sources);
 
-/// As ReadDeclarations, for texts that were read already.
+/// Does the same for files that were already read.
 Configuration ParseDeclarations(const std::vector<DeclarationText>& texts);
 
 }  // namespace camphorferry::version
--- a/Source/Core/Version/key_ring.cc
+++ b/Source/Core/Version/key_ring.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Lets secret scanners recognize a key in files and logs.
+// Fixed prefix by which secret scanners can find keys in files and logs.
 constexpr std::string_view kKeyPrefix = "cfk_";
 
 }  // namespace
--- a/Source/Core/Version/key_ring.h
+++ b/Source/Core/Version/key_ring.h
@@ -12,22 +12,22 @@
 
 namespace camphorferry::version {
 
-/// Random bytes of one key; 256 bits cannot be guessed or tried in turn.
+/// Number of random bytes in a key; 256 bits cannot be guessed by brute force.
 inline constexpr std::size_t kKeyBytes = 32;
 
-/// Printable text of a new key from random bytes. The text is shown to the
-/// operator once; only its SHA-256 digest is ever stored.
+/// Creates the printable text of a new key from random bytes. The text is shown
+/// to the operator once; only its SHA-256 digest is stored.
 std::string GenerateKey(const std::array<unsigned char, kKeyBytes>& random);
 
-/// The keys of one configuration, looked up by a presented key's digest.
-/// Lookup by digest reveals nothing useful through timing, since a caller
-/// cannot choose the digest of a guess.
+/// Index of the keys of one configuration by digest. A lookup by digest is safe
+/// against timing attacks, because an attacker cannot choose the digest of a
+/// guessed key.
 class KeyRing {
  public:
   explicit KeyRing(const Configuration& configuration);
 
-  /// Workspace that a presented key belongs to; none if the key is unknown or
-  /// revoked, or its workspace does not exist.
+  /// Workspace of the key that a client presented; none if the key is unknown
+  /// or revoked, or if its workspace does not exist.
   std::optional<common::WorkspaceId> WorkspaceOf(
       std::string_view key_text) const;
 
--- a/Source/Core/Version/plan.cc
+++ b/Source/Core/Version/plan.cc
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-/// Fields of an object in the order in which people read them.
+/// Names and values of an object's fields in display order.
 using FieldTexts = std::vector<std::pair<std::string, std::string>>;
 
-// The brackets keep it apart from every name.
+// The parentheses distinguish it from all names.
 constexpr const char* kNone = "(none)";
 
 std::string KindName(const common::WorkspaceId& /*id*/) { return "workspace"; }
@@ -87,8 +87,9 @@
   AppendField(name, value, text);
 }
 
-/// One line for each field that differs.
-std::string FieldChanges(const FieldTexts& before, const FieldTexts& after) {
+/// Formats one line for each field that differs.
+std::string FormatFieldChanges(const FieldTexts& before,
+                               const FieldTexts& after) {
   std::string text;
   for (const auto& [name, old_text] : before) {
     const std::string new_text = FieldOrNone(after, name);
@@ -101,7 +102,7 @@
   return text;
 }
 
-std::string AllFields(const FieldTexts& fields) {
+std::string FormatFields(const FieldTexts& fields) {
   std::string text;
   for (const auto& [name, value] : fields) {
     AppendField(name, value, &text);
@@ -113,13 +114,13 @@
   template <typename Id, typename Value>
   std::string operator()(const Added<Id, Value>& change) const {
     return "+ " + ObjectName(change.id) + "\n" +
-           AllFields(FieldsOf(change.value));
+           FormatFields(FieldsOf(change.value));
   }
   template <typename Id, typename Value>
   std::string operator()(const Changed<Id, Value>& change) const {
-    const std::string fields =
-        FieldChanges(FieldsOf(change.old_value), FieldsOf(change.new_value));
-    // The order of endpoints is part of the content and of no field.
+    const std::string fields = FormatFieldChanges(FieldsOf(change.old_value),
+                                                  FieldsOf(change.new_value));
+    // The order of endpoints is part of the content but not shown as a field.
     return "~ " + ObjectName(change.id) + "\n" +
            (fields.empty() ? "    order of endpoints\n" : fields);
   }
@@ -174,7 +175,7 @@
   }
 }
 
-bool KeepsEndpoint(const Service& service, const Endpoint& endpoint) {
+bool ContainsEndpoint(const Service& service, const Endpoint& endpoint) {
   return std::find(service.endpoints.begin(), service.endpoints.end(),
                    endpoint) != service.endpoints.end();
 }
@@ -201,7 +202,7 @@
     const std::vector<Endpoint>& old = change.old_value.endpoints;
     const bool kept = std::all_of(
         old.begin(), old.end(), [&change](const Endpoint& endpoint) {
-          return KeepsEndpoint(change.new_value, endpoint);
+          return ContainsEndpoint(change.new_value, endpoint);
         });
     if (!kept) this->Add(WarningKind::kEndpointRemoved, change.id);
   }
@@ -245,7 +246,7 @@
   }
   void operator()(
       const Added<common::FailureDomainId, FailureDomain>& change) const {
-    // The first domains share the rates of nobody.
+    // The first domains take no share of the rates from other domains.
     if (this->current.domains.empty()) return;
     this->Add(WarningKind::kRateSlotsChanged, change.id);
   }
@@ -292,7 +293,8 @@
   return "invalid";
 }
 
-// JSON objects are dumped in key order, so equal content has one digest.
+// JSON objects are serialized in key order, so equal contents have equal
+// digests.
 PlanDigester::PlanDigester(const Configuration& declared)
     : content_digest(common::Sha256Hex(DeclarationsToJson(declared).dump())) {}
 
--- a/Source/Core/Version/plan.h
+++ b/Source/Core/Version/plan.h
@@ -12,7 +12,7 @@
 
 namespace camphorferry::version {
 
-/// An object that the configuration in force does not have.
+/// An object that is declared but not in the configuration in force.
 template <typename Id, typename Value>
 struct Added {
   Id id;
@@ -31,7 +31,7 @@
   bool operator==(const Changed&) const = default;
 };
 
-/// An object that is no longer declared.
+/// An object that is in the configuration in force but no longer declared.
 template <typename Id, typename Value>
 struct Removed {
   Id id;
@@ -40,7 +40,7 @@
   bool operator==(const Removed&) const = default;
 };
 
-/// One change of one object.
+/// A change of one object.
 using Change = std::variant<
     Added<common::WorkspaceId, Workspace>,
     Changed<common::WorkspaceId, Workspace>,
@@ -53,7 +53,7 @@
     Changed<common::FailureDomainId, FailureDomain>,
     Removed<common::FailureDomainId, FailureDomain>>;
 
-/// Why a change may hurt clients that are served now.
+/// Why a change may affect clients that are served now.
 enum class WarningKind {
   kWorkspaceRemoved,
   kRateLowered,
@@ -68,10 +68,10 @@
   kRateSlotsChanged,
 };
 
-/// Name of a warning kind, as in messages and JSON.
+/// Name of a warning kind in the plan's text and JSON.
 std::string_view ToString(WarningKind kind);
 
-/// A change that the operator should read twice.
+/// Warns the operator about a change that may affect clients.
 struct PlanWarning {
   WarningKind kind = WarningKind::kRateLowered;
   /// Kind and name of the object, such as "workspace trust".
@@ -80,44 +80,46 @@
   bool operator==(const PlanWarning&) const = default;
 };
 
-/// What would change if the declarations were put in force.
+/// The changes that applying the declarations would make.
 struct Plan {
   /// Version that the plan was made against.
   ConfigurationVersion base_version = 0;
   std::vector<Change> changes;
   std::vector<PlanWarning> warnings;
-  /// Identifies base version and declared content; what operators confirm.
+  /// Digest of base version and declared content, by which operators confirm
+  /// the plan.
   std::string digest;
 
   bool operator==(const Plan&) const = default;
 };
 
-/// Digests of plans with one declared content, which is hashed once.
+/// Computes the digests of plans for one declared content against several
+/// versions. The content is hashed only once.
 class PlanDigester {
  public:
   explicit PlanDigester(const Configuration& declared);
 
-  /// Digest of the plan against a version.
+  /// Digest of the plan against the version.
   std::string DigestAgainst(ConfigurationVersion base_version) const;
 
  private:
   std::string content_digest;
 };
 
-/// Digest of a plan against a version with the declared content.
+/// Digest of the plan for the declared content against the version.
 std::string PlanDigest(ConfigurationVersion base_version,
                        const Configuration& declared);
 
-/// Compares the configuration in force with the declared one. Version and
-/// applied plans of the declared one are ignored.
+/// Compares the configuration in force with the declared one. Ignores version
+/// and applied plans of the declared one.
 Plan MakePlan(const Configuration& current, const Configuration& declared);
 
-/// The plan for people: a line for each object, + added, ~ changed, - removed,
-/// ! warning.
+/// Formats the plan for display. The line of each object starts with + if it is
+/// added, ~ if changed and - if removed. Lines with ! are warnings.
 std::string PlanToText(const Plan& plan);
 
-/// The plan as the operators' interface returns it: base_version, digest,
-/// changes, warnings and text.
+/// Formats the plan as the operators' interface returns it, with the fields
+/// base_version, digest, changes, warnings and text.
 nlohmann::json PlanToJson(const Plan& plan);
 
 }  // namespace camphorferry::version
--- a/Source/Core/Version/version.h
+++ b/Source/Core/Version/version.h
@@ -1,8 +1,8 @@
 #ifndef CAMPHORFERRY_VERSION_VERSION_H_
 #define CAMPHORFERRY_VERSION_VERSION_H_
 
-/// Public header of the Version library: what lives for a version of the
-/// configuration.
+/// Public header of the Version library: types whose objects live as long as
+/// one version of the configuration.
 
 #include "Version/apply.h"
 #include "Version/configuration.h"
--- a/Source/UnitTests/Core/Version/apply_test.cc
+++ b/Source/UnitTests/Core/Version/apply_test.cc
@@ -9,14 +9,14 @@
 namespace camphorferry::version {
 namespace {
 
-/// Declarations that differ by one number.
+/// Declarations that differ only in a rate.
 Configuration DeclareRate(std::uint32_t rate) {
   Configuration declared;
   declared.workspaces[common::WorkspaceId("w")] = Workspace{rate, 1, 1};
   return declared;
 }
 
-/// The store's side: decides and writes.
+/// Store that decides about confirmations and writes the result.
 class Store {
  public:
   ApplyDecision Confirm(const Configuration& declared,
@@ -40,8 +40,8 @@
   Store store;
 };
 
-// Guards against two operators whose plans are both applied, the second one
-// undoing the first without having seen it.
+// Guards against applying the plans of two operators one after the other, where
+// the second plan reverts the first without having shown it.
 TEST_F(ApplyTest, TwoOperatorsConfirm_Second_IsStale) {
   const std::string first = this->store.PlanFor(DeclareRate(1));
   const std::string second = this->store.PlanFor(DeclareRate(2));
@@ -49,14 +49,14 @@
   const ApplyDecision decision = this->store.Confirm(DeclareRate(2), second);
   const auto* stale = std::get_if<StalePlan>(&decision);
   ASSERT_NE(stale, nullptr);
-  const auto* moved = std::get_if<BaseVersionMoved>(&stale->reason);
-  ASSERT_NE(moved, nullptr);
-  EXPECT_EQ(moved->planned_against, 0U);
+  const auto* outdated = std::get_if<BaseVersionOutdated>(&stale->reason);
+  ASSERT_NE(outdated, nullptr);
+  EXPECT_EQ(outdated->base_version, 0U);
   EXPECT_EQ(stale->current_version, 1U);
 }
 
-// Guards against a repeated confirmation, after a lost answer, that is applied
-// twice or reported as refused, also after another operator's later plan.
+// Guards against a confirmation that is repeated after a lost answer and then
+// applied twice or refused, even if another plan was applied in between.
 TEST_F(ApplyTest, LostAnswer_ConfirmAgain_IsAlreadyApplied) {
   const std::string digest = this->store.PlanFor(DeclareRate(1));
   this->store.Confirm(DeclareRate(1), digest);
@@ -70,7 +70,8 @@
   EXPECT_EQ(this->store.current, before);
 }
 
-// Guards against "already applied" for files that were edited since.
+// Guards against reporting files as already applied that were edited after the
+// plan was applied.
 TEST_F(ApplyTest, AppliedDigestWithOtherFiles_Confirm_IsStale) {
   const std::string digest = this->store.PlanFor(DeclareRate(1));
   this->store.Confirm(DeclareRate(1), digest);
@@ -80,7 +81,7 @@
   EXPECT_TRUE(std::holds_alternative<DeclarationsDiffer>(stale->reason));
 }
 
-// Guards against versions that are used up by plans without changes.
+// Guards against plans without changes that create a new version.
 TEST_F(ApplyTest, PlanWithoutChanges_Confirm_WritesNothing) {
   this->store.Confirm(DeclareRate(1), this->store.PlanFor(DeclareRate(1)));
   const ApplyDecision decision =
@@ -89,8 +90,8 @@
   EXPECT_EQ(this->store.current.version, 1U);
 }
 
-// Guards against a list of applied plans that grows without bound or drops the
-// newest.
+// Guards against a list of applied plans that grows without limit or loses its
+// newest entries.
 TEST_F(ApplyTest, ManyPlans_Confirm_KeepsTheNewest) {
   std::vector<std::string> digests;
   for (std::uint32_t rate = 1; rate <= 70; ++rate) {
@@ -106,9 +107,9 @@
   EXPECT_TRUE(std::holds_alternative<StalePlan>(dropped));
 }
 
-// Guards against any mix of racing, repeated and outdated confirmations that
-// applies a plan to another base than it was made against, or twice.
-RC_GTEST_PROP(ApplyPropertyTest, RacingOperators_Confirm_EachPlanAtMostOnce,
+// Guards against applying a plan twice or to another version than it was made
+// against, under concurrent, repeated and outdated confirmations.
+RC_GTEST_PROP(ApplyPropertyTest, ConcurrentOperators_Confirm_EachPlanAtMostOnce,
               (const std::vector<std::pair<bool, std::uint8_t>>& steps)) {
   struct Planned {
     Configuration declared;
--- a/Source/UnitTests/Core/Version/configuration_generator.h
+++ b/Source/UnitTests/Core/Version/configuration_generator.h
@@ -10,7 +10,7 @@
 
 namespace camphorferry::version {
 
-/// Names from a small set, so that objects often share one.
+/// Generates names from a small set, so that objects often refer to each other.
 template <typename Id>
 rc::Gen<Id> GenName() {
   return rc::gen::map(
@@ -18,8 +18,8 @@
       [](std::string text) { return Id(std::move(text)); });
 }
 
-/// A map of at most as many entries as there are names. RapidCheck's own map
-/// generator gives up when it draws the same name too often.
+/// Generates a map with at most as many entries as there are names.
+/// RapidCheck's own map generator gives up if it draws the same name too often.
 template <typename Id, typename Value>
 rc::Gen<std::map<Id, Value>> GenMap(const rc::Gen<Value>& value) {
   const auto entry = rc::gen::pair(GenName<Id>(), value);
@@ -57,7 +57,7 @@
       rc::gen::set(&Service::slots), rc::gen::set(&Service::connections));
 }
 
-/// Any configuration that a document can hold, with or without sense.
+/// Generates any configuration that a document can hold, valid or not.
 inline rc::Gen<Configuration> GenConfiguration() {
   using rc::gen::build;
   using rc::gen::set;
--- a/Source/UnitTests/Core/Version/configuration_json_test.cc
+++ b/Source/UnitTests/Core/Version/configuration_json_test.cc
@@ -36,8 +36,8 @@
   }
 };
 
-// Guards against a configuration that changes on its way through the store or
-// a peer, which would put different content in force under one version.
+// Guards against a configuration that changes when it is written to the store
+// or sent to a peer, so that daemons differ in the content of one version.
 RC_GTEST_PROP(ConfigurationJsonPropertyTest, AnyConfiguration_RoundTrip_IsEqual,
               ()) {
   const Configuration configuration = *GenConfiguration();
@@ -45,7 +45,7 @@
   RC_ASSERT(ParseConfiguration(text) == configuration);
 }
 
-// Guards against declarations that carry a version of their own.
+// Guards against declarations that contain a version or applied plans.
 RC_GTEST_PROP(ConfigurationJsonPropertyTest,
               AnyConfiguration_DeclarationsRoundTrip_DropsOnlyTheVersion, ()) {
   Configuration configuration = *GenConfiguration();
@@ -56,8 +56,8 @@
   RC_ASSERT(read == configuration);
 }
 
-// Guards against a document with a fault that is put in force in part.
-TEST_F(ConfigurationJsonTest, FaultyDocument_Parse_NamesFaultAndPlace) {
+// Guards against an invalid document that is accepted in part.
+TEST_F(ConfigurationJsonTest, FaultyDocument_Parse_ReportsFaultAndPath) {
   EXPECT_EQ(FaultOfText(Document().dump()), "accepted");
   EXPECT_EQ(FaultOfText("{"), "not_json ");
   EXPECT_EQ(FaultOfText("[]"), "wrong_type ");
--- a/Source/UnitTests/Core/Version/configuration_tracker_test.cc
+++ b/Source/UnitTests/Core/Version/configuration_tracker_test.cc
@@ -11,9 +11,9 @@
 
 using common::HostId;
 
-/// A configuration whose content depends on its version only.
-ConfigurationPointer AtVersion(ConfigurationVersion version,
-                               std::uint32_t rate = 1) {
+/// A configuration with the version and one workspace with the rate.
+ConfigurationPointer MakeConfiguration(ConfigurationVersion version,
+                                       std::uint32_t rate = 1) {
   auto configuration = std::make_shared<Configuration>();
   configuration->version = version;
   configuration->workspaces[common::WorkspaceId("w")] = Workspace{rate, 1, 1};
@@ -29,15 +29,15 @@
   ConfigurationTracker tracker;
 };
 
-// Guards against a late or repeated push that reverts a configuration that was
-// already in force.
+// Guards against a late or repeated push that replaces the configuration in
+// force by an older one.
 RC_GTEST_PROP(ConfigurationTrackerPropertyTest,
               OffersInAnyOrder_Offer_NeverRevertsAndEndsAtHighest,
               (const std::vector<std::uint8_t>& versions)) {
   ConfigurationTracker tracker;
   ConfigurationVersion highest = 0;
   for (const std::uint8_t version : versions) {
-    const OfferResult result = tracker.Offer(AtVersion(version));
+    const OfferResult result = tracker.Offer(MakeConfiguration(version));
     RC_ASSERT(std::holds_alternative<OfferAccepted>(result) ==
               (version > highest));
     highest = std::max<ConfigurationVersion>(highest, version);
@@ -45,9 +45,14 @@
   }
 }
 
-/// Something that a starting daemon learns.
+/// Event that a starting daemon observes.
 struct StartEvent {
-  enum class Kind { kStoreSilent, kPeerAnswered, kPeerEmpty, kPeerSilent };
+  enum class Kind {
+    kStoreUnavailable,
+    kPeerAnswered,
+    kPeerWithoutConfiguration,
+    kPeerUnavailable
+  };
   Kind kind;
   int peer;
   ConfigurationVersion version;
@@ -59,46 +64,46 @@
                     *rc::gen::inRange<ConfigurationVersion>(1, 9)};
 }
 
-// Guards against a daemon that serves an old configuration because it trusted
-// the first peer, a stale one, before it asked the others.
+// Guards against a daemon that serves an outdated configuration because it
+// became ready after the answer of the first peer.
 RC_GTEST_PROP(ConfigurationTrackerPropertyTest,
-              StoreDown_AnyPeerEvents_ReadyOnlyAfterAllWereAsked,
+              StoreDown_AnyPeerEvents_ReadyOnlyAfterAllWereQueried,
               (std::uint8_t event_count)) {
   ConfigurationTracker tracker;
   tracker.SetDomainPeers({HostId("0"), HostId("1"), HostId("2")});
-  bool store_silent = false;
-  std::set<int> asked;
+  bool store_unavailable = false;
+  std::set<int> queried;
   ConfigurationVersion highest = 0;
   for (int i = 0; i < event_count % 16; ++i) {
     const StartEvent event = GenStartEvent();
     const HostId peer(std::to_string(event.peer));
     switch (event.kind) {
-      case StartEvent::Kind::kStoreSilent:
+      case StartEvent::Kind::kStoreUnavailable:
         tracker.StoreSilent();
-        store_silent = true;
+        store_unavailable = true;
         continue;
       case StartEvent::Kind::kPeerAnswered:
-        tracker.PeerAnswered(peer, AtVersion(event.version));
+        tracker.PeerAnswered(peer, MakeConfiguration(event.version));
         highest = std::max(highest, event.version);
         break;
-      case StartEvent::Kind::kPeerEmpty:
+      case StartEvent::Kind::kPeerWithoutConfiguration:
         tracker.PeerAnswered(peer, nullptr);
         break;
-      case StartEvent::Kind::kPeerSilent:
+      case StartEvent::Kind::kPeerUnavailable:
         tracker.PeerSilent(peer);
         break;
     }
-    asked.insert(event.peer);
+    queried.insert(event.peer);
   }
   RC_ASSERT(tracker.Version() == highest);
   RC_ASSERT(tracker.Ready() ==
-            (store_silent && asked.size() == 3 && highest > 0));
-  const bool asks = !tracker.PeersToAsk().empty();
-  RC_ASSERT(asks == (store_silent && !tracker.Ready()));
+            (store_unavailable && queried.size() == 3 && highest > 0));
+  const bool queries_peers = !tracker.PeersToAsk().empty();
+  RC_ASSERT(queries_peers == (store_unavailable && !tracker.Ready()));
 }
 
-// Guards against a daemon that stays unready although the store answered, as on
-// a first run without any configuration.
+// Guards against a daemon that does not become ready although the store
+// answered, as on a first start without any configuration.
 TEST_F(ConfigurationTrackerTest, StoreEmpty_Ready_IsTrue) {
   EXPECT_FALSE(this->tracker.Ready());
   this->tracker.StoreAnswered(nullptr);
@@ -106,42 +111,45 @@
   EXPECT_EQ(this->tracker.Current(), nullptr);
 }
 
-// Guards against a store that lags behind its peers and reverts them.
+// Guards against an older version in the store that replaces a newer one from a
+// peer.
 TEST_F(ConfigurationTrackerTest, PeerAheadOfStore_StoreAnswers_PeerStays) {
-  this->tracker.PeerAnswered(HostId("a"), AtVersion(7));
-  const OfferResult result = this->tracker.StoreAnswered(AtVersion(6));
+  this->tracker.PeerAnswered(HostId("a"), MakeConfiguration(7));
+  const OfferResult result = this->tracker.StoreAnswered(MakeConfiguration(6));
   ASSERT_TRUE(std::holds_alternative<OfferOlder>(result));
   EXPECT_EQ(this->tracker.Version(), 7U);
   EXPECT_TRUE(this->tracker.IsBehind(8));
   EXPECT_FALSE(this->tracker.IsBehind(7));
 }
 
-// Guards against a peer of another failure domain that counts as asked.
-TEST_F(ConfigurationTrackerTest, ForeignPeerAnswers_Ready_IsFalse) {
+// Guards against readiness based on a peer in another failure domain.
+TEST_F(ConfigurationTrackerTest, PeerOfOtherDomainAnswers_Ready_IsFalse) {
   this->tracker.StoreSilent();
-  this->tracker.PeerAnswered(HostId("foreign"), AtVersion(1));
+  this->tracker.PeerAnswered(HostId("foreign"), MakeConfiguration(1));
   this->tracker.PeerSilent(HostId("a"));
   this->tracker.PeerSilent(HostId("b"));
   EXPECT_FALSE(this->tracker.Ready());
   EXPECT_EQ(this->tracker.Version(), 1U);
 }
 
-// Guards against a peer that left and keeps a starting daemon waiting.
-TEST_F(ConfigurationTrackerTest, UnaskedPeerLeaves_Ready_IsTrue) {
+// Guards against a starting daemon that waits for a peer that has left.
+TEST_F(ConfigurationTrackerTest, UnqueriedPeerLeaves_Ready_IsTrue) {
   this->tracker.StoreSilent();
-  this->tracker.PeerAnswered(HostId("a"), AtVersion(1));
+  this->tracker.PeerAnswered(HostId("a"), MakeConfiguration(1));
   EXPECT_FALSE(this->tracker.Ready());
   this->tracker.SetDomainPeers({HostId("a")});
   EXPECT_TRUE(this->tracker.Ready());
 }
 
-// Guards against a silent replacement of content under the same version.
+// Guards against replacing the content of a version without reporting it.
 TEST_F(ConfigurationTrackerTest, SameVersionOtherContent_Offer_KeepsTheFirst) {
-  const ConfigurationPointer first = AtVersion(2, /*rate=*/10);
+  const ConfigurationPointer first = MakeConfiguration(2, /*rate=*/10);
   this->tracker.Offer(first);
-  const OfferResult same = this->tracker.Offer(AtVersion(2, /*rate=*/10));
-  const OfferResult other = this->tracker.Offer(AtVersion(2, /*rate=*/11));
-  EXPECT_TRUE(std::holds_alternative<OfferAlreadyHeld>(same));
+  const OfferResult same =
+      this->tracker.Offer(MakeConfiguration(2, /*rate=*/10));
+  const OfferResult other =
+      this->tracker.Offer(MakeConfiguration(2, /*rate=*/11));
+  EXPECT_TRUE(std::holds_alternative<OfferAlreadyInForce>(same));
   EXPECT_TRUE(std::holds_alternative<OfferConflict>(other));
   EXPECT_EQ(this->tracker.Current(), first);
 }
--- a/Source/UnitTests/Core/Version/declarations_test.cc
+++ b/Source/UnitTests/Core/Version/declarations_test.cc
@@ -15,7 +15,7 @@
 
 class DeclarationsTest : public testing::Test {
  protected:
-  static std::string Fleet() {
+  static std::string FleetFile() {
     return R"([domain.east]
 region = "ub"
 rate_slots = 8
@@ -37,7 +37,7 @@
 )";
   }
 
-  static std::string Clients() {
+  static std::string ClientsFile() {
     return R"([workspace.trust]
 rate = 100
 burst = 20
@@ -67,19 +67,19 @@
 
   static std::string Replace(std::string text, const std::string& from,
                              const std::string& to) {
-    const std::size_t place = text.find(from);
-    EXPECT_NE(place, std::string::npos) << from;
-    return text.replace(place, from.size(), to);
+    const std::size_t offset = text.find(from);
+    EXPECT_NE(offset, std::string::npos) << from;
+    return text.replace(offset, from.size(), to);
   }
 
-  static std::vector<std::string> AfterFleet(const std::string& from,
-                                             const std::string& to) {
-    return FaultsOf(Replace(Fleet(), from, to), Clients());
+  static std::vector<std::string> FaultsAfterFleetEdit(const std::string& from,
+                                                       const std::string& to) {
+    return FaultsOf(Replace(FleetFile(), from, to), ClientsFile());
   }
 
-  static std::vector<std::string> AfterClients(const std::string& from,
-                                               const std::string& to) {
-    return FaultsOf(Fleet(), Replace(Clients(), from, to));
+  static std::vector<std::string> FaultsAfterClientsEdit(
+      const std::string& from, const std::string& to) {
+    return FaultsOf(FleetFile(), Replace(ClientsFile(), from, to));
   }
 
   using Lines = std::vector<std::string>;
@@ -88,7 +88,7 @@
 // Guards against declarations that are read into the wrong object.
 TEST_F(DeclarationsTest, ValidFiles_Parse_HaveEveryObject) {
   const Configuration read =
-      ParseDeclarations({{"fleet", Fleet()}, {"clients", Clients()}});
+      ParseDeclarations({{"fleet", FleetFile()}, {"clients", ClientsFile()}});
   Configuration expected;
   expected.domains[common::FailureDomainId("east")] =
       FailureDomain{common::RegionId("ub"), 8};
@@ -110,92 +110,98 @@
   EXPECT_EQ(read, expected);
 }
 
-// Guards against a plan made from declarations that cannot work.
-TEST_F(DeclarationsTest, FaultInOneFile_Parse_NamesItsPlace) {
-  EXPECT_EQ(AfterFleet("region = \"ub\"", "regio = \"ub\""),
+// Guards against invalid declarations that are accepted, and against faults
+// that are reported at the wrong file, line or key.
+TEST_F(DeclarationsTest, FaultInOneFile_Parse_ReportsItsLocation) {
+  EXPECT_EQ(FaultsAfterFleetEdit("region = \"ub\"", "regio = \"ub\""),
             (Lines{"fleet:1 domain.east.region missing_key",
                    "fleet:2 domain.east.regio unknown_key"}));
-  EXPECT_EQ(AfterFleet("rate_slots = 8", "rate_slots = 10001"),
+  EXPECT_EQ(FaultsAfterFleetEdit("rate_slots = 8", "rate_slots = 10001"),
             (Lines{"fleet:3 domain.east.rate_slots not_allowed"}));
-  EXPECT_EQ(AfterFleet("connections = 16", "connections = 7"),
+  EXPECT_EQ(FaultsAfterFleetEdit("connections = 16", "connections = 7"),
             (Lines{"fleet:6 service.ledger.connections not_allowed"}));
-  EXPECT_EQ(AfterFleet("\"l2\"", "\"l1\""),
+  EXPECT_EQ(FaultsAfterFleetEdit("\"l2\"", "\"l1\""),
             (Lines{"fleet:12 service.ledger.endpoint[1].id duplicate"}));
-  EXPECT_EQ(AfterFleet("5002", "5001"),
+  EXPECT_EQ(FaultsAfterFleetEdit("5002", "5001"),
             (Lines{"fleet:13 service.ledger.endpoint[1].address duplicate"}));
   EXPECT_EQ(
-      AfterFleet("domain = \"east\"", "domain = \"west\""),
+      FaultsAfterFleetEdit("domain = \"east\"", "domain = \"west\""),
       (Lines{"fleet:10 service.ledger.endpoint[0].domain unknown_reference"}));
-  EXPECT_EQ(AfterFleet("127.0.0.1:5003", "db:5003"),
+  EXPECT_EQ(FaultsAfterFleetEdit("127.0.0.1:5003", "db:5003"),
             (Lines{"fleet:17 service.ledger.endpoint[2].address not_allowed"}));
-  EXPECT_EQ(AfterClients("rate = 100", "rate = 0"),
+  EXPECT_EQ(FaultsAfterClientsEdit("rate = 100", "rate = 0"),
             (Lines{"clients:2 workspace.trust.rate not_allowed"}));
-  EXPECT_EQ(AfterClients("burst = 20", "burst = 20\nweight = 1001"),
+  EXPECT_EQ(FaultsAfterClientsEdit("burst = 20", "burst = 20\nweight = 1001"),
             (Lines{"clients:4 workspace.trust.weight not_allowed"}));
-  EXPECT_EQ(AfterClients("\"ledger\"", "\"legder\""),
+  EXPECT_EQ(FaultsAfterClientsEdit("\"ledger\"", "\"legder\""),
             (Lines{"clients:5 route.circles.service unknown_reference"}));
-  EXPECT_EQ(AfterClients("[\"trust\"]", "[]"),
+  EXPECT_EQ(FaultsAfterClientsEdit("[\"trust\"]", "[]"),
             (Lines{"clients:6 route.circles.workspaces missing_key"}));
-  EXPECT_EQ(AfterClients("[\"trust\"]", "[\"trust\"]\nopen = true"),
+  EXPECT_EQ(FaultsAfterClientsEdit("[\"trust\"]", "[\"trust\"]\nopen = true"),
             (Lines{"clients:6 route.circles.workspaces contradiction"}));
-  EXPECT_EQ(AfterClients("workspace = \"trust\"", "workspace = \"tru\""),
-            (Lines{"clients:8 key.office.workspace unknown_reference"}));
-  EXPECT_EQ(AfterClients("0123456789abcdef\"", "\""),
+  EXPECT_EQ(
+      FaultsAfterClientsEdit("workspace = \"trust\"", "workspace = \"tru\""),
+      (Lines{"clients:8 key.office.workspace unknown_reference"}));
+  EXPECT_EQ(FaultsAfterClientsEdit("0123456789abcdef\"", "\""),
             (Lines{"clients:9 key.office.digest not_allowed"}));
-  EXPECT_EQ(AfterClients("[key.office]", "[kee.office]"),
+  EXPECT_EQ(FaultsAfterClientsEdit("[key.office]", "[kee.office]"),
             (Lines{"clients:7 kee unknown_key"}));
 }
 
-// Guards against two endpoints, with which fences have no majority of three.
+// Guards against a service with two endpoints, for which the majorities that
+// fencing needs do not exist.
 TEST_F(DeclarationsTest, ServiceOfTwoEndpoints_Parse_IsRefused) {
-  const std::string fleet = Fleet();
+  const std::string fleet = FleetFile();
   const std::size_t last = fleet.rfind("[[service");
-  EXPECT_EQ(FaultsOf(fleet.substr(0, last), Clients()),
+  EXPECT_EQ(FaultsOf(fleet.substr(0, last), ClientsFile()),
             (Lines{"fleet:7 service.ledger.endpoint not_allowed"}));
 }
 
-// Guards against a second file that silently replaces an object of the first.
-TEST_F(DeclarationsTest, SameObjectInTwoFiles_Parse_NamesBothPlaces) {
+// Guards against a second file that replaces an object of the first.
+TEST_F(DeclarationsTest, SameObjectInTwoFiles_Parse_ReportsDuplicate) {
   const std::string again =
-      Clients() + "[domain.east]\nregion = \"x\"\n" + "rate_slots = 1\n";
-  EXPECT_EQ(FaultsOf(Fleet(), again),
+      ClientsFile() + "[domain.east]\nregion = \"x\"\n" + "rate_slots = 1\n";
+  EXPECT_EQ(FaultsOf(FleetFile(), again),
             (Lines{"clients:10 domain.east duplicate"}));
 }
 
-// Guards against an operator who repairs one fault for each attempt.
+// Guards against reporting only the first fault, so that operators need one
+// attempt for each fault.
 TEST_F(DeclarationsTest, FaultsInSeveralFiles_Parse_ReportsAll) {
-  const std::string fleet = Replace(Fleet(), "slots = 2", "slots = 0");
-  const std::string clients = Replace(Clients(), "rate = 100", "rate = \"x\"");
+  const std::string fleet = Replace(FleetFile(), "slots = 2", "slots = 0");
+  const std::string clients =
+      Replace(ClientsFile(), "rate = 100", "rate = \"x\"");
   EXPECT_EQ(FaultsOf(fleet, clients),
             (Lines{"clients:2 workspace.trust.rate wrong_type",
                    "fleet:5 service.ledger.slots not_allowed"}));
 }
 
-// Guards against a file that cannot be parsed and turns each reference to it
-// into a fault of another file.
-TEST_F(DeclarationsTest, OneFileUnparsable_Parse_ReportsOnlyThat) {
-  EXPECT_EQ(FaultsOf("[domain", Clients()), (Lines{"fleet:1  syntax"}));
+// Guards against reporting every reference to an object in a file that cannot
+// be parsed as a fault of another file.
+TEST_F(DeclarationsTest, OneUnparsableFile_Parse_ReportsOnlyItsSyntaxError) {
+  EXPECT_EQ(FaultsOf("[domain", ClientsFile()), (Lines{"fleet:1  syntax"}));
 }
 
-// Guards against declaration files that are missed or unread.
-TEST_F(DeclarationsTest, Directory_Read_TakesItsTomlFilesOnly) {
+// Guards against declaration files of a directory that are ignored, and against
+// reading its other files.
+TEST_F(DeclarationsTest, Directory_Read_ReadsOnlyTomlFiles) {
   const std::filesystem::path directory =
       std::filesystem::path(testing::TempDir()) /
       ("camphorferry_declarations." + std::to_string(getpid()));
   std::filesystem::remove_all(directory);
   std::filesystem::create_directory(directory);
   EXPECT_THROW(ReadDeclarations({directory}), DeclarationsError);
-  std::ofstream(directory / "a.toml") << Fleet();
-  std::ofstream(directory / "b.toml") << Clients();
+  std::ofstream(directory / "a.toml") << FleetFile();
+  std::ofstream(directory / "b.toml") << ClientsFile();
   std::ofstream(directory / "notes.txt") << "[[[";
   EXPECT_EQ(ReadDeclarations({directory}),
-            ParseDeclarations({{"a", Fleet()}, {"b", Clients()}}));
+            ParseDeclarations({{"a", FleetFile()}, {"b", ClientsFile()}}));
   EXPECT_THROW(ReadDeclarations({directory, directory / "absent.toml"}),
                DeclarationsError);
   std::filesystem::remove_all(directory);
 }
 
-// Guards against a document that the store refuses after the confirmation.
+// Guards against accepting a document that is too large for the store.
 TEST_F(DeclarationsTest, DocumentAboveStoreLimit_Check_IsRefused) {
   Configuration configuration;
   for (int i = 0; i < 20'000; ++i) {
--- a/Source/UnitTests/Core/Version/key_ring_test.cc
+++ b/Source/UnitTests/Core/Version/key_ring_test.cc
@@ -8,7 +8,7 @@
 
 class KeyRingTest : public testing::Test {
  protected:
-  static Configuration WithKey(const std::string& key_text) {
+  static Configuration ConfigurationWithKey(const std::string& key_text) {
     Configuration configuration;
     configuration.workspaces[common::WorkspaceId("w")] = Workspace{10, 5, 1};
     configuration.keys[common::KeyId("k")] =
@@ -17,9 +17,9 @@
   }
 };
 
-// Guards against keys that open another workspace or none, and against a key
-// text that ends up in the store.
-RC_GTEST_PROP(KeyRingPropertyTest, IssuedKey_WorkspaceOf_IsItsOwnOnly,
+// Guards against keys that belong to another workspace or to none, and against
+// storing the text of a key.
+RC_GTEST_PROP(KeyRingPropertyTest, IssuedKey_WorkspaceOf_IsItsOwn,
               (const std::array<unsigned char, kKeyBytes>& random)) {
   const std::string text = GenerateKey(random);
   Configuration configuration = *GenConfiguration();
@@ -33,17 +33,18 @@
   RC_ASSERT(stored.find(text) == std::string::npos);
 }
 
-// Guards against a digest, which operators may read, that works as a key.
+// Guards against accepting the digest of a key, which operators can read, as
+// the key.
 TEST_F(KeyRingTest, DigestPresentedAsKey_WorkspaceOf_IsNone) {
-  const KeyRing ring(WithKey("secret"));
+  const KeyRing ring(ConfigurationWithKey("secret"));
   EXPECT_EQ(ring.WorkspaceOf("secret"), common::WorkspaceId("w"));
   EXPECT_EQ(ring.WorkspaceOf(common::Sha256Hex("secret")), std::nullopt);
   EXPECT_EQ(ring.WorkspaceOf(""), std::nullopt);
 }
 
-// Guards against keys that outlive their workspace.
+// Guards against keys that stay valid after their workspace was removed.
 TEST_F(KeyRingTest, WorkspaceRemoved_WorkspaceOf_IsNone) {
-  Configuration configuration = WithKey("secret");
+  Configuration configuration = ConfigurationWithKey("secret");
   configuration.workspaces.clear();
   EXPECT_EQ(KeyRing(configuration).WorkspaceOf("secret"), std::nullopt);
 }
--- a/Source/UnitTests/Core/Version/plan_test.cc
+++ b/Source/UnitTests/Core/Version/plan_test.cc
@@ -8,7 +8,7 @@
 namespace camphorferry::version {
 namespace {
 
-/// Carries out changes one by one.
+/// Applies changes to a configuration.
 class ChangeApplier {
  public:
   explicit ChangeApplier(Configuration* target) : target(target) {}
@@ -52,15 +52,16 @@
  protected:
   void SetUp() override {
     this->current.version = 4;
-    this->current.workspaces[this->trust] = Workspace{100, 20, 1};
-    this->current.services[this->ledger] =
+    this->current.workspaces[this->workspace] = Workspace{100, 20, 1};
+    this->current.services[this->service] =
         Service{{Endpoint{common::EndpointId("l1"), "127.0.0.1:1",
                           common::FailureDomainId("east")}},
                 2,
                 16};
-    this->current.routes[this->circles] =
-        Route{this->ledger, false, {this->trust}};
-    this->current.keys[this->office] = Key{this->trust, common::Sha256Hex("k")};
+    this->current.routes[this->route] =
+        Route{this->service, false, {this->workspace}};
+    this->current.keys[this->key] =
+        Key{this->workspace, common::Sha256Hex("k")};
     this->declared = this->current;
   }
 
@@ -70,15 +71,15 @@
 
   using Expected = std::vector<PlanWarning>;
 
-  const common::WorkspaceId trust{"trust"};
-  const common::ServiceId ledger{"ledger"};
-  const common::RouteId circles{"circles"};
-  const common::KeyId office{"office"};
+  const common::WorkspaceId workspace{"trust"};
+  const common::ServiceId service{"ledger"};
+  const common::RouteId route{"circles"};
+  const common::KeyId key{"office"};
   Configuration current;
   Configuration declared;
 };
 
-// Guards against changes that take effect without being shown in the plan.
+// Guards against changes that a plan applies but does not show.
 RC_GTEST_PROP(PlanPropertyTest, AnyDeclarations_MakePlan_ShowsEveryChange, ()) {
   const Configuration current = *GenConfiguration();
   const Configuration declared = *GenConfiguration();
@@ -92,7 +93,7 @@
   RC_ASSERT(MakePlan(declared, declared).changes.empty());
 }
 
-// Guards against a confirmation that fits another base or other content.
+// Guards against a digest that also confirms another base version or content.
 RC_GTEST_PROP(PlanPropertyTest, OtherBaseOrContent_MakePlan_HasOtherDigest,
               ()) {
   const Configuration current = *GenConfiguration();
@@ -110,10 +111,10 @@
   RC_ASSERT(MakePlan(current, other).digest == digest);
 }
 
-// Guards against a dangerous change that an operator overlooks.
+// Guards against a change that may affect clients and is shown without warning.
 TEST_F(PlanTest, DangerousChange_MakePlan_Warns) {
   EXPECT_EQ(this->Warnings(), Expected{});
-  this->declared.workspaces[this->trust].rate = 50;
+  this->declared.workspaces[this->workspace].rate = 50;
   EXPECT_EQ(this->Warnings(),
             (Expected{{WarningKind::kRateLowered, "workspace trust"}}));
   this->declared = this->current;
@@ -125,20 +126,21 @@
   EXPECT_EQ(this->Warnings(),
             (Expected{{WarningKind::kKeyWithdrawn, "key office"}}));
   this->declared = this->current;
-  this->declared.services[this->ledger].endpoints[0].address = "127.0.0.1:2";
+  this->declared.services[this->service].endpoints[0].address = "127.0.0.1:2";
   EXPECT_EQ(this->Warnings(),
             (Expected{{WarningKind::kEndpointRemoved, "service ledger"}}));
   this->declared = this->current;
-  this->declared.routes[this->circles] = Route{this->ledger, true, {}};
+  this->declared.routes[this->route] = Route{this->service, true, {}};
   EXPECT_EQ(this->Warnings(),
             (Expected{{WarningKind::kRouteOpened, "route circles"}}));
-  this->declared.routes[this->circles] =
-      Route{this->ledger, false, {common::WorkspaceId("other")}};
+  this->declared.routes[this->route] =
+      Route{this->service, false, {common::WorkspaceId("other")}};
   EXPECT_EQ(this->Warnings(),
             (Expected{{WarningKind::kRouteNarrowed, "route circles"}}));
 }
 
-// Guards against a new domain whose slots silently shrink those of the others.
+// Guards against adding a domain without a warning that its rate slots reduce
+// the rates of the other domains.
 TEST_F(PlanTest, DomainAdded_MakePlan_WarnsUnlessItIsTheFirst) {
   const FailureDomain domain{common::RegionId("ub"), 8};
   this->declared.domains[common::FailureDomainId("east")] = domain;
@@ -149,20 +151,21 @@
             (Expected{{WarningKind::kRateSlotsChanged, "domain west"}}));
 }
 
-// Guards against warnings for harmless changes, which teach people to skip
-// them.
+// Guards against warnings for harmless changes, which would train operators to
+// ignore warnings.
 TEST_F(PlanTest, HarmlessChange_MakePlan_DoesNotWarn) {
-  this->declared.workspaces[this->trust].rate = 200;
+  this->declared.workspaces[this->workspace].rate = 200;
   this->declared.workspaces[common::WorkspaceId("new")] = Workspace{1, 1, 1};
-  this->declared.services[this->ledger].slots = 4;
-  this->declared.routes[this->circles].workspaces.insert(
+  this->declared.services[this->service].slots = 4;
+  this->declared.routes[this->route].workspaces.insert(
       common::WorkspaceId("new"));
   EXPECT_EQ(this->Warnings(), Expected{});
 }
 
-// Guards against a text that leaves out what people must read to confirm.
+// Guards against a text that does not show all changes, warnings and the
+// digest.
 TEST_F(PlanTest, Changes_PlanToText_ShowsOldAndNew) {
-  this->declared.workspaces[this->trust].rate = 50;
+  this->declared.workspaces[this->workspace].rate = 50;
   this->declared.keys.clear();
   this->declared.domains[common::FailureDomainId("east")] =
       FailureDomain{common::RegionId("ub"), 8};
