--- a/Source/Control/apply_report.cc
+++ b/Source/Control/apply_report.cc
@@ -31,25 +31,26 @@
   return found->get<version::ConfigurationVersion>();
 }
 
-ApplyReport InterpretAccepted(const json& body) {
+ApplyReport InterpretSuccess(const json& body) {
   const auto version = VersionField(body, "version");
   const auto result = TextField(body, "result");
-  const bool already = result == "already_applied";
-  if (!version.has_value() || (!already && result != "applied")) {
+  const bool already_applied = result == "already_applied";
+  if (!version.has_value() || (!already_applied && result != "applied")) {
     return PlanOutcomeUnknown{"unreadable answer"};
   }
-  return PlanAccepted{*version, already};
+  return PlanAccepted{*version, already_applied};
 }
 
 ApplyReport InterpretReply(const OperatorReply& reply) {
   const json body = ParseBody(reply.response);
   const int status = reply.response.status;
   const std::string reason = ReasonOf(reply.response);
-  if (status == kOk) return InterpretAccepted(body);
+  if (status == kOk) return InterpretSuccess(body);
   if (status == kConflict && TextField(body, "reason") == "stale") {
-    return PlanMoved{VersionField(body, "base_version")};
+    return PlanStale{VersionField(body, "base_version")};
   }
-  // Other refusals speak only for the daemon that answered.
+  // Any other refusal does not exclude that a daemon that was tried before has
+  // applied the plan.
   const bool certainly_not_run =
       status < kServerErrors || TextField(body, "outcome") == "not_run";
   if (!certainly_not_run || reply.earlier_may_have_run) {
@@ -65,7 +66,7 @@
   if (const auto* reply = std::get_if<OperatorReply>(&result)) {
     return InterpretReply(*reply);
   }
-  if (std::get<OperatorSilence>(result).may_have_run) {
+  if (std::get<OperatorNoAnswer>(result).may_have_run) {
     return PlanOutcomeUnknown{"no answer"};
   }
   return PlanNotSent{};
--- a/Source/Control/apply_report.h
+++ b/Source/Control/apply_report.h
@@ -10,29 +10,32 @@
 
 namespace camphorferry::control {
 
-/// The plan was accepted; `already` if by an earlier confirmation.
+/// The plan was applied, by this confirmation or, if `already_applied` is set,
+/// by an earlier one.
 struct PlanAccepted {
   version::ConfigurationVersion version = 0;
-  bool already = false;
+  bool already_applied = false;
 };
 
-/// The configuration in force has moved since the plan was made.
-struct PlanMoved {
+/// The plan is stale: the configuration in force or the declarations have
+/// changed since it was made.
+struct PlanStale {
   std::optional<version::ConfigurationVersion> base_version;
 };
 
-/// The daemon found the declarations or the request invalid.
+/// The daemon rejected the declarations or the request as invalid.
 struct PlanInvalid {
   std::string reason;
 };
 
-/// The plan was not put in force, and neither by an earlier attempt.
+/// The plan was not applied, neither by this confirmation nor by an attempt at
+/// another daemon before it.
 struct PlanRefused {
   std::string reason;
 };
 
-/// The plan may or may not have been put in force; confirming it again is safe
-/// and tells.
+/// The plan may have been applied. Confirming it again is safe and shows
+/// whether it was.
 struct PlanOutcomeUnknown {
   std::string reason;
 };
@@ -40,13 +43,14 @@
 /// No daemon received the confirmation.
 struct PlanNotSent {};
 
-using ApplyReport = std::variant<PlanAccepted, PlanMoved, PlanInvalid,
+using ApplyReport = std::variant<PlanAccepted, PlanStale, PlanInvalid,
                                  PlanRefused, PlanOutcomeUnknown, PlanNotSent>;
 
-/// Decides what the answer to a confirmation means.
+/// Derives the outcome of a confirmation from the answer.
 ApplyReport InterpretApply(const OperatorResult& result);
 
-/// The reason in the body with its detail; otherwise the HTTP status.
+/// Reason and detail from the body of a response; its HTTP status if the body
+/// has no reason.
 std::string ReasonOf(const connection::HttpResponse& response);
 
 }  // namespace camphorferry::control
--- a/Source/Control/command_line.cc
+++ b/Source/Control/command_line.cc
@@ -70,10 +70,10 @@
 };
 using Context = std::unique_ptr<poptContext_s, ContextDeleter>;
 
-/// Options and arguments as they were given.
+/// Options and arguments before they are validated.
 struct RawCommandLine {
   std::vector<std::string> operators;
-  /// Options that belong to some commands only.
+  /// Options that only some commands accept, by name.
   std::map<std::string, std::string> options;
   std::optional<std::string> timeout;
   std::vector<std::string> arguments;
@@ -117,7 +117,7 @@
   }
 }
 
-RawCommandLine ReadRaw(poptContext context) {
+RawCommandLine ReadRawCommandLine(poptContext context) {
   RawCommandLine raw;
   int option = 0;
   while ((option = poptGetNextOpt(context)) > 0) {
@@ -172,14 +172,15 @@
   return operators;
 }
 
-/// Turns the raw command line into a command and refuses what it does not use.
+/// Converts the raw command line to a command and rejects options and arguments
+/// that the command does not accept.
 class CommandParser {
  public:
   explicit CommandParser(RawCommandLine raw) : raw(std::move(raw)) {}
 
   Command Parse() {
     const std::string name = this->TakeName();
-    Command command = this->ParseNamed(name);
+    Command command = this->ParseCommand(name);
     if (!this->raw.arguments.empty()) {
       throw UsageError(UsageFault::kUnexpectedArgument,
                        this->raw.arguments.front());
@@ -192,7 +193,7 @@
   }
 
  private:
-  Command ParseNamed(const std::string& name) {
+  Command ParseCommand(const std::string& name) {
     if (name == "validate") return ValidateCommand{this->TakeSources()};
     if (name == "plan") return PlanCommand{this->TakeSources()};
     if (name == "apply") {
@@ -278,7 +279,8 @@
   if (NeedsDaemon(line.command) && line.operators.empty()) {
     throw UsageError(UsageFault::kMissingOption, "--operator");
   }
-  // Trying the next listener would drain a second daemon.
+  // With several listeners, a retry at the next one would drain a second
+  // daemon.
   if (std::holds_alternative<DrainCommand>(line.command) &&
       line.operators.size() != 1) {
     throw UsageError(UsageFault::kUnexpectedOption,
@@ -325,7 +327,7 @@
                                        static_cast<int>(texts.size() - 1),
                                        texts.data(), kOptions, 0));
   poptSetOtherOptionHelp(context.get(), "[OPTION...] COMMAND [FILE...]");
-  RawCommandLine raw = ReadRaw(context.get());
+  RawCommandLine raw = ReadRawCommandLine(context.get());
   CommandLine line;
   line.json = raw.json;
   if (raw.help) {
--- a/Source/Control/command_line.h
+++ b/Source/Control/command_line.h
@@ -12,15 +12,15 @@
 
 namespace camphorferry::control {
 
-/// Files and directories with declarations.
+/// Declaration files, and directories with declaration files.
 using Sources = std::vector<std::filesystem::path>;
 
-/// Checks declarations without contacting a daemon.
+/// Validates declarations without contacting a daemon.
 struct ValidateCommand {
   Sources sources;
 };
 
-/// Shows what would change.
+/// Shows the changes that applying the declarations would make.
 struct PlanCommand {
   Sources sources;
 };
@@ -37,19 +37,20 @@
 /// Shows the counters of the first daemon that answers.
 struct CountersCommand {};
 
-/// Makes a new key; contacts no daemon.
+/// Creates a new key without contacting a daemon.
 struct KeysIssueCommand {
   common::WorkspaceId workspace;
   common::KeyId name;
 };
 
-/// Plans the removal of a key from the configuration in force, or applies it.
+/// Plans the removal of a key from the configuration in force or, if a digest
+/// is given, applies it.
 struct KeysWithdrawCommand {
   common::KeyId name;
   std::optional<std::string> digest;
 };
 
-/// Makes one daemon finish its requests and stop.
+/// Makes one daemon finish its running requests and stop.
 struct DrainCommand {};
 
 /// Shows the usage.
@@ -74,9 +75,9 @@
 /// A parsed command line.
 struct CommandLine {
   Command command;
-  /// Operators' listeners, in the order in which they are tried.
+  /// Addresses of operators' listeners, in the order in which they are tried.
   std::vector<connection::SocketAddress> operators;
-  /// Time for the answer of each listener.
+  /// Maximum time to wait for the answer of each listener.
   common::Duration timeout = kDefaultTimeout;
   bool json = false;
 };
@@ -93,16 +94,16 @@
   kBadValue,
 };
 
-/// Name of a usage fault.
+/// Name of a usage fault in error messages.
 std::string_view ToString(UsageFault fault);
 
-/// The command line is not valid.
+/// The command line is invalid.
 class UsageError : public common::Error {
  public:
   UsageError(UsageFault fault, const std::string& subject);
 
   UsageFault Fault() const { return this->fault; }
-  /// Option or argument that is at fault.
+  /// Option or argument that caused the fault.
   const std::string& Subject() const { return this->subject; }
 
  private:
--- a/Source/Control/command_runner.cc
+++ b/Source/Control/command_runner.cc
@@ -36,14 +36,13 @@
                        json{{"result", result}, {"reason", reason}}};
 }
 
-CommandResult SilenceResult() {
+CommandResult NoAnswerResult() {
   return Failure(ExitCode::kNoAnswer, "no_answer",
                  "no daemon answered; check the addresses given with "
                  "--operator, or name more of them");
 }
 
-/// The result of a request that was not answered with success and changes
-/// nothing.
+/// The result for an error response to a request that has changed nothing.
 CommandResult ReplyFailure(const OperatorReply& reply) {
   const std::string reason = ReasonOf(reply.response);
   if (reply.response.status == kBadRequest) {
@@ -71,20 +70,21 @@
                        json{{"result", "invalid"}, {"faults", faults}}};
 }
 
-/// What a report means for the operator.
+/// Converts the outcome of a confirmation to a result for the operator.
 struct ReportToResult {
   CommandResult operator()(const PlanAccepted& report) const {
-    const std::string result = report.already ? "already_applied" : "applied";
+    const std::string result =
+        report.already_applied ? "already_applied" : "applied";
     return CommandResult{
         ExitCode::kOk,
         result + ": version " + std::to_string(report.version) + "\n",
         json{{"result", result}, {"version", report.version}}};
   }
-  CommandResult operator()(const PlanMoved& report) const {
+  CommandResult operator()(const PlanStale& report) const {
     CommandResult result =
-        Failure(ExitCode::kPlanMoved, "stale",
+        Failure(ExitCode::kPlanStale, "stale",
                 "the configuration in force or the declarations are not those "
-                "of the confirmed plan; make a new plan and read it");
+                "of the confirmed plan; make a new plan and review it");
     if (report.base_version.has_value()) {
       result.document["base_version"] = *report.base_version;
     }
@@ -104,11 +104,12 @@
                        "again: it is not applied twice");
   }
   CommandResult operator()(const PlanNotSent& /*report*/) const {
-    return SilenceResult();
+    return NoAnswerResult();
   }
 };
 
-/// The answer to a request for a plan, without the hint how to go on.
+/// Converts the answer to a request for a plan, which must have text and
+/// digest.
 CommandResult PlanResult(const OperatorReply& reply) {
   if (reply.response.status != kOk) return ReplyFailure(reply);
   json body = json::parse(reply.response.body, nullptr,
@@ -123,7 +124,7 @@
 
 CommandResult StatusResult(const OperatorResult& result) {
   const auto* reply = std::get_if<OperatorReply>(&result);
-  if (reply == nullptr) return SilenceResult();
+  if (reply == nullptr) return NoAnswerResult();
   if (reply->response.status != kOk) return ReplyFailure(*reply);
   const std::string from = connection::ToString(reply->from);
   const std::string& body = reply->response.body;
@@ -135,17 +136,18 @@
   return CommandResult{ExitCode::kOk, std::move(text), std::move(document)};
 }
 
-/// Whether a daemon has reached a version, by its answer about its state.
-std::string_view ReachOf(const connection::HttpResult& answer,
-                         version::ConfigurationVersion version) {
+/// State of the rollout of a version at a daemon, from its answer to a status
+/// request.
+std::string_view RolloutStateOf(const connection::HttpResult& answer,
+                                version::ConfigurationVersion version) {
   const auto* response = std::get_if<connection::HttpResponse>(&answer);
   if (response == nullptr) return "no_answer";
   const json status = json::parse(response->body, nullptr,
                                   /*allow_exceptions=*/false);
   if (!status.is_object()) return "no_answer";
-  const auto held = status.find("configuration_version");
-  if (held == status.end() || !held->is_number_unsigned()) return "no_answer";
-  const bool reached = held->get<version::ConfigurationVersion>() >= version;
+  const auto found = status.find("configuration_version");
+  if (found == status.end() || !found->is_number_unsigned()) return "no_answer";
+  const bool reached = found->get<version::ConfigurationVersion>() >= version;
   return reached ? "in_force" : "not_yet";
 }
 
@@ -223,7 +225,7 @@
   const OperatorResult result =
       this->client.Send(GetRequest("/operator/v1/configuration"));
   const auto* reply = std::get_if<OperatorReply>(&result);
-  if (reply == nullptr) return SilenceResult();
+  if (reply == nullptr) return NoAnswerResult();
   if (reply->response.status != kOk) return ReplyFailure(*reply);
   try {
     return this->WithdrawKey(version::ParseConfiguration(reply->response.body),
@@ -237,7 +239,7 @@
   const OperatorResult result =
       this->client.Send(PostRequest("/operator/v1/drain", json::object()));
   const auto* reply = std::get_if<OperatorReply>(&result);
-  if (reply == nullptr) return SilenceResult();
+  if (reply == nullptr) return NoAnswerResult();
   const int status = reply->response.status;
   if (status != kOk && status != kAccepted) return ReplyFailure(*reply);
   return CommandResult{ExitCode::kOk,
@@ -260,7 +262,7 @@
       PostRequest("/operator/v1/plan",
                   json{{"declarations", DeclarationsToJson(declared)}}));
   const auto* reply = std::get_if<OperatorReply>(&result);
-  if (reply == nullptr) return SilenceResult();
+  if (reply == nullptr) return NoAnswerResult();
   return PlanResult(*reply);
 }
 
@@ -281,12 +283,13 @@
                        " has no key " + command.name.Value());
   }
   if (!command.digest.has_value()) return this->ShowPlan(current);
-  // Without the key, the configuration in force is what was confirmed if this
-  // repeats a confirmation; the daemon finds the digest among the applied ones.
+  // If this repeats a confirmation that was already applied, the key is no
+  // longer in the configuration in force. That configuration is then what was
+  // confirmed, and the daemon finds the digest among the applied plans.
   const ApplyReport report = this->Confirm(current, *command.digest);
   CommandResult result = std::visit(ReportToResult(), report);
   if (const auto* accepted = std::get_if<PlanAccepted>(&report)) {
-    this->ReportReach(accepted->version, &result);
+    this->ReportRollout(accepted->version, &result);
     result.text += "Remove [key." + command.name.Value() +
                    "] from the declaration files, or the next plan adds it "
                    "again.\n";
@@ -297,18 +300,18 @@
   return result;
 }
 
-void CommandRunner::ReportReach(version::ConfigurationVersion version,
-                                CommandResult* result) const {
-  constexpr std::array kReaches = {"in_force", "not_yet", "no_answer"};
-  for (const char* reach : kReaches) {
-    result->document[reach] = json::array();
+void CommandRunner::ReportRollout(version::ConfigurationVersion version,
+                                  CommandResult* result) const {
+  constexpr std::array kRolloutStates = {"in_force", "not_yet", "no_answer"};
+  for (const char* state : kRolloutStates) {
+    result->document[state] = json::array();
   }
   for (const auto& [address, answer] :
        this->client.SendToAll(GetRequest("/operator/v1/status"))) {
-    const std::string reach(ReachOf(answer, version));
+    const std::string state(RolloutStateOf(answer, version));
     const std::string name = connection::ToString(address);
-    result->text.append(reach).append(": ").append(name).append("\n");
-    result->document[reach].push_back(name);
+    result->text.append(state).append(": ").append(name).append("\n");
+    result->document[state].push_back(name);
   }
 }
 
--- a/Source/Control/command_runner.h
+++ b/Source/Control/command_runner.h
@@ -12,29 +12,29 @@
 
 namespace camphorferry::control {
 
-/// Exit codes of the program; scripts rely on them.
+/// Exit codes of the program. Scripts depend on them, so they must not change.
 enum class ExitCode {
   kOk = 0,
   kInvalidInput = 2,
-  kPlanMoved = 3,
+  kPlanStale = 3,
   kNoAnswer = 4,
   kRefused = 5,
 };
 
-/// What a command prints and returns.
+/// Output and exit code of a command.
 struct CommandResult {
   ExitCode exit_code = ExitCode::kOk;
-  /// For people.
+  /// Output for display.
   std::string text;
-  /// For scripts, with --json.
+  /// Output for scripts, printed with --json.
   nlohmann::json document;
 };
 
-/// Source of a key's random bytes.
+/// Returns the random bytes for a new key.
 using RandomSource =
     std::function<std::array<unsigned char, version::kKeyBytes>()>;
 
-/// Runs one command.
+/// Runs the command of a command line.
 class CommandRunner {
  public:
   CommandRunner(const CommandLine& line, Transport transport,
@@ -59,15 +59,15 @@
                       const std::string& digest) const;
   CommandResult WithdrawKey(version::Configuration current,
                             const KeysWithdrawCommand& command) const;
-  void ReportReach(version::ConfigurationVersion version,
-                   CommandResult* result) const;
+  void ReportRollout(version::ConfigurationVersion version,
+                     CommandResult* result) const;
 
   CommandLine line;
   OperatorClient client;
   RandomSource random;
 };
 
-/// The result of a command line that is not valid.
+/// The result for an invalid command line.
 CommandResult UsageResult(const UsageError& error);
 
 }  // namespace camphorferry::control
--- a/Source/Control/control.h
+++ b/Source/Control/control.h
@@ -1,7 +1,7 @@
 #ifndef CAMPHORFERRY_CONTROL_CONTROL_H_
 #define CAMPHORFERRY_CONTROL_CONTROL_H_
 
-/// Public header of the Control library: the operators' command line.
+/// Public header of the Control library: the command-line client for operators.
 
 #include "Control/apply_report.h"
 #include "Control/command_line.h"
--- a/Source/Control/main.cc
+++ b/Source/Control/main.cc
@@ -10,10 +10,10 @@
 namespace camphorferry::control {
 namespace {
 
-/// The system's random generator has failed, so no key can be made.
+/// The system's random number generator failed, so no key can be created.
 class RandomError : public common::Error {
  public:
-  RandomError() : Error("the random generator failed") {}
+  RandomError() : Error("the random number generator failed") {}
 };
 
 std::array<unsigned char, version::kKeyBytes> RandomBytes() {
@@ -53,7 +53,8 @@
         std::vector<std::string>(argv + 1, argv + argc));
   } catch (const std::exception& error) {
     std::cerr << "failed: " << error.what() << "\n";
-    // The failure may have come after a request was sent.
+    // The exception may have been thrown after a request was sent, so the
+    // outcome is unknown.
     return static_cast<int>(camphorferry::control::ExitCode::kNoAnswer);
   }
 }
--- a/Source/Control/operator_client.cc
+++ b/Source/Control/operator_client.cc
@@ -22,7 +22,7 @@
     may_have_run |= std::get<connection::HttpFailure>(result) ==
                     connection::HttpFailure::kNoAnswer;
   }
-  return OperatorSilence{may_have_run};
+  return OperatorNoAnswer{may_have_run};
 }
 
 std::vector<std::pair<connection::SocketAddress, connection::HttpResult>>
--- a/Source/Control/operator_client.h
+++ b/Source/Control/operator_client.h
@@ -11,8 +11,8 @@
 
 namespace camphorferry::control {
 
-/// Port to a daemon's operators' listener; connection::SendHttpBlocking in the
-/// program.
+/// Sends a request to the operators' listener of a daemon and returns the
+/// result. The program uses connection::SendHttpBlocking; tests use a fake.
 using Transport = std::function<connection::HttpResult(
     const connection::SocketAddress& address,
     const connection::HttpRequest& request, common::Duration timeout)>;
@@ -21,29 +21,31 @@
 struct OperatorReply {
   connection::HttpResponse response;
   connection::SocketAddress from;
-  /// A daemon that was tried before may have carried out the request.
+  /// A daemon that was tried before may have executed the request.
   bool earlier_may_have_run = false;
 };
 
 /// No daemon answered.
-struct OperatorSilence {
-  /// At least one daemon may have carried out the request.
+struct OperatorNoAnswer {
+  /// At least one daemon may have executed the request.
   bool may_have_run = false;
 };
 
-using OperatorResult = std::variant<OperatorReply, OperatorSilence>;
+using OperatorResult = std::variant<OperatorReply, OperatorNoAnswer>;
 
-/// Sends requests to the first of several daemons that answers.
+/// HTTP client with failover between the operators' listeners of several
+/// daemons.
 class OperatorClient {
  public:
   OperatorClient(std::vector<connection::SocketAddress> operators,
                  common::Duration timeout, Transport transport);
 
-  /// Tries one listener after the other. Only for requests that may be carried
-  /// out more than once.
+  /// Sends the request to one listener after the other until one answers. Only
+  /// for requests that may be executed more than once.
   OperatorResult Send(const connection::HttpRequest& request) const;
 
-  /// Asks every listener; a failure stands for the ones that do not answer.
+  /// Sends the request to every listener and returns the result of each; an
+  /// HttpFailure for those that do not answer.
   std::vector<std::pair<connection::SocketAddress, connection::HttpResult>>
   SendToAll(const connection::HttpRequest& request) const;
 
--- a/Source/UnitTests/Control/apply_report_test.cc
+++ b/Source/UnitTests/Control/apply_report_test.cc
@@ -16,9 +16,9 @@
 
 class ApplyReportTest : public testing::Test {
  protected:
-  /// Sends one confirmation to as many daemons as there are results, each of
-  /// which answers with its own, and names what that means.
-  static std::string Report(const std::vector<HttpResult>& results) {
+  /// Sends one confirmation with failover between daemons, of which each
+  /// answers with one of the results. Returns the outcome as text.
+  static std::string InterpretResults(const std::vector<HttpResult>& results) {
     std::vector<connection::SocketAddress> operators;
     for (std::size_t i = 0; i < results.size(); ++i) {
       operators.push_back({"127.0.0.1", static_cast<std::uint16_t>(i)});
@@ -33,11 +33,12 @@
     return std::visit(
         common::Overloaded{
             [](const PlanAccepted& report) {
-              return (report.already ? "already " : "applied ") +
+              return (report.already_applied ? "already " : "applied ") +
                      std::to_string(report.version);
             },
-            [](const PlanMoved& report) {
-              return "moved " + std::to_string(report.base_version.value_or(0));
+            [](const PlanStale& report) {
+              return "outdated " +
+                     std::to_string(report.base_version.value_or(0));
             },
             [](const PlanInvalid& report) {
               return "invalid " + report.reason;
@@ -60,7 +61,7 @@
   }
 
   const HttpResult applied = Answer(200, R"({"version":7,"result":"applied"})");
-  const HttpResult already =
+  const HttpResult already_applied =
       Answer(200, R"({"version":7,"result":"already_applied"})");
   const HttpResult stale =
       Answer(409, R"({"reason":"stale","base_version":6})");
@@ -74,46 +75,52 @@
   const HttpResult no_answer = HttpFailure::kNoAnswer;
 };
 
-// Guards against an answer that is reported as something else.
-TEST_F(ApplyReportTest, OneDaemon_Interpret_SaysWhatItAnswered) {
-  EXPECT_EQ(Report({this->applied}), "applied 7");
-  EXPECT_EQ(Report({this->already}), "already 7");
-  EXPECT_EQ(Report({this->stale}), "moved 6");
-  EXPECT_EQ(Report({this->invalid}), "invalid bad_request (rate: found 0)");
-  EXPECT_EQ(Report({Answer(404, "")}), "refused HTTP status 404");
-  EXPECT_EQ(Report({this->store_not_run}), "refused store_unavailable");
-  EXPECT_EQ(Report({this->store_unknown}), "unknown store_unavailable");
-  EXPECT_EQ(Report({this->not_sent}), "not sent");
+// Guards against answers that are reported with a wrong outcome.
+TEST_F(ApplyReportTest, OneDaemon_Interpret_ReportsItsAnswer) {
+  EXPECT_EQ(InterpretResults({this->applied}), "applied 7");
+  EXPECT_EQ(InterpretResults({this->already_applied}), "already 7");
+  EXPECT_EQ(InterpretResults({this->stale}), "outdated 6");
+  EXPECT_EQ(InterpretResults({this->invalid}),
+            "invalid bad_request (rate: found 0)");
+  EXPECT_EQ(InterpretResults({Answer(404, "")}), "refused HTTP status 404");
+  EXPECT_EQ(InterpretResults({this->store_not_run}),
+            "refused store_unavailable");
+  EXPECT_EQ(InterpretResults({this->store_unknown}),
+            "unknown store_unavailable");
+  EXPECT_EQ(InterpretResults({this->not_sent}), "not sent");
 }
 
-// Guards against a lost or garbled answer that is reported as success or as a
-// refusal, although the plan may be in force.
+// Guards against a lost or malformed answer that is reported as success or as a
+// refusal, although the plan may have been applied.
 TEST_F(ApplyReportTest, NoUsableAnswer_Interpret_IsUnknown) {
-  EXPECT_EQ(Report({this->no_answer}), "unknown no answer");
-  EXPECT_EQ(Report({this->no_answer, this->not_sent}), "unknown no answer");
-  EXPECT_EQ(Report({Answer(200, "{\"version\":")}),
+  EXPECT_EQ(InterpretResults({this->no_answer}), "unknown no answer");
+  EXPECT_EQ(InterpretResults({this->no_answer, this->not_sent}),
+            "unknown no answer");
+  EXPECT_EQ(InterpretResults({Answer(200, "{\"version\":")}),
             "unknown unreadable answer");
-  EXPECT_EQ(Report({Answer(200, R"({"version":7})")}),
+  EXPECT_EQ(InterpretResults({Answer(200, R"({"version":7})")}),
             "unknown unreadable answer");
-  EXPECT_EQ(Report({Answer(500, "")}), "unknown HTTP status 500");
+  EXPECT_EQ(InterpretResults({Answer(500, "")}), "unknown HTTP status 500");
 }
 
-// Guards against a refusal by the second daemon that hides that the first one
-// may have put the plan in force.
-TEST_F(ApplyReportTest, FirstDaemonSilent_Interpret_RefusalIsUnknown) {
-  EXPECT_EQ(Report({this->no_answer, this->store_not_run}),
+// Guards against reporting the refusal of the second daemon although the first
+// one may have applied the plan.
+TEST_F(ApplyReportTest, FirstDaemonDoesNotAnswer_Interpret_RefusalIsUnknown) {
+  EXPECT_EQ(InterpretResults({this->no_answer, this->store_not_run}),
             "unknown store_unavailable");
-  EXPECT_EQ(Report({this->no_answer, this->invalid}),
+  EXPECT_EQ(InterpretResults({this->no_answer, this->invalid}),
             "unknown bad_request (rate: found 0)");
-  EXPECT_EQ(Report({this->not_sent, this->store_not_run}),
+  EXPECT_EQ(InterpretResults({this->not_sent, this->store_not_run}),
             "refused store_unavailable");
 }
 
-// Guards against a failover that loses a clear answer.
-TEST_F(ApplyReportTest, FirstDaemonSilent_Interpret_TakesClearAnswer) {
-  EXPECT_EQ(Report({this->no_answer, this->already}), "already 7");
-  EXPECT_EQ(Report({this->no_answer, this->stale}), "moved 6");
-  EXPECT_EQ(Report({this->stale, this->applied}), "moved 6");
+// Guards against reporting a definite answer after a failover as unknown.
+TEST_F(ApplyReportTest,
+       FirstDaemonDoesNotAnswer_Interpret_ReportsDefiniteAnswer) {
+  EXPECT_EQ(InterpretResults({this->no_answer, this->already_applied}),
+            "already 7");
+  EXPECT_EQ(InterpretResults({this->no_answer, this->stale}), "outdated 6");
+  EXPECT_EQ(InterpretResults({this->stale, this->applied}), "outdated 6");
 }
 
 }  // namespace
--- a/Source/UnitTests/Control/command_line_test.cc
+++ b/Source/UnitTests/Control/command_line_test.cc
@@ -24,8 +24,8 @@
   const std::string digest = common::Sha256Hex("plan");
 };
 
-// Guards against options and files that end up in the wrong place, wherever
-// they stand.
+// Guards against options and files that are assigned wrongly, whatever their
+// order.
 TEST_F(CommandLineTest, ApplyWithAllOptions_Parse_KeepsEveryValue) {
   const CommandLine line =
       ParseCommandLine({"--json", "apply", "--operator", "127.0.0.1:1",
@@ -42,7 +42,7 @@
   EXPECT_TRUE(line.json);
 }
 
-// Guards against commands that need no daemon and ask for one.
+// Guards against requiring --operator for commands that contact no daemon.
 TEST_F(CommandLineTest, LocalCommands_Parse_NeedNoOperator) {
   EXPECT_EQ(FaultOf({"validate", "a.toml"}), "accepted");
   EXPECT_EQ(FaultOf({"keys", "issue", "--workspace", "w", "--name", "k"}),
@@ -51,33 +51,36 @@
   EXPECT_EQ(FaultOf({"--version", "nonsense"}), "accepted");
 }
 
-// Guards against a mistyped command line that does something else than meant.
-TEST_F(CommandLineTest, FaultyLine_Parse_NamesTheFault) {
-  const std::string at = "--operator=127.0.0.1:1";
+// Guards against a mistyped command line that is accepted as another command.
+TEST_F(CommandLineTest, FaultyLine_Parse_ReportsTheFault) {
+  const std::string operator_option = "--operator=127.0.0.1:1";
   EXPECT_EQ(FaultOf({}), "missing command: COMMAND");
   EXPECT_EQ(FaultOf({"aply"}), "unknown command: aply");
   EXPECT_EQ(FaultOf({"keys", "list"}), "unknown command: keys list");
-  EXPECT_EQ(FaultOf({"plan", at}), "missing argument: FILE");
+  EXPECT_EQ(FaultOf({"plan", operator_option}), "missing argument: FILE");
   EXPECT_EQ(FaultOf({"plan", "a.toml"}), "missing option: --operator");
-  EXPECT_EQ(FaultOf({"apply", "a.toml", at}), "missing option: --digest");
-  EXPECT_EQ(FaultOf({"apply", "a.toml", at, "--digest", "12"}),
+  EXPECT_EQ(FaultOf({"apply", "a.toml", operator_option}),
+            "missing option: --digest");
+  EXPECT_EQ(FaultOf({"apply", "a.toml", operator_option, "--digest", "12"}),
             "bad value: --digest 12");
-  EXPECT_EQ(FaultOf({"plan", "a.toml", at, "--digest", this->digest}),
-            "unexpected option: --digest");
-  EXPECT_EQ(FaultOf({"status", at, "extra"}), "unexpected argument: extra");
+  EXPECT_EQ(
+      FaultOf({"plan", "a.toml", operator_option, "--digest", this->digest}),
+      "unexpected option: --digest");
+  EXPECT_EQ(FaultOf({"status", operator_option, "extra"}),
+            "unexpected argument: extra");
   EXPECT_EQ(FaultOf({"status", "-o", "host:1"}),
             "bad value: --operator host:1");
-  EXPECT_EQ(FaultOf({"status", at, "--timeout-ms", "5s"}),
+  EXPECT_EQ(FaultOf({"status", operator_option, "--timeout-ms", "5s"}),
             "bad value: --timeout-ms 5s");
-  EXPECT_EQ(FaultOf({"status", at, "--timeout-ms", "1"}),
+  EXPECT_EQ(FaultOf({"status", operator_option, "--timeout-ms", "1"}),
             "bad value: --timeout-ms 1");
-  EXPECT_EQ(FaultOf({"keys", "withdraw", at, "--name", "a b"}),
+  EXPECT_EQ(FaultOf({"keys", "withdraw", operator_option, "--name", "a b"}),
             "bad value: --name a b");
   EXPECT_EQ(FaultOf({"status", "--nosuch"}),
             "bad option: --nosuch (unknown option)");
 }
 
-// Guards against a drain that fails over and stops a second daemon.
+// Guards against a drain request that fails over and stops a second daemon.
 TEST_F(CommandLineTest, DrainWithTwoOperators_Parse_IsRefused) {
   EXPECT_EQ(FaultOf({"drain", "-o", "127.0.0.1:1"}), "accepted");
   EXPECT_EQ(FaultOf({"drain", "-o", "127.0.0.1:1", "-o", "127.0.0.1:2"}),
--- a/Source/UnitTests/Control/command_runner_test.cc
+++ b/Source/UnitTests/Control/command_runner_test.cc
@@ -17,7 +17,7 @@
 using nlohmann::json;
 using version::Configuration;
 
-/// Answers like a daemon whose store holds one configuration.
+/// Simulates a daemon and its store with one configuration.
 class FakeDaemon {
  public:
   HttpResult Answer(const HttpRequest& request) {
@@ -71,10 +71,10 @@
  protected:
   void SetUp() override {
     this->daemon.current.version = 4;
-    const common::WorkspaceId trust("trust");
-    this->daemon.current.workspaces[trust] = version::Workspace{100, 20, 1};
+    const common::WorkspaceId workspace("trust");
+    this->daemon.current.workspaces[workspace] = version::Workspace{100, 20, 1};
     this->daemon.current.keys[common::KeyId("office")] =
-        version::Key{trust, common::Sha256Hex("secret")};
+        version::Key{workspace, common::Sha256Hex("secret")};
     std::filesystem::remove_all(this->directory);
     std::filesystem::create_directory(this->directory);
   }
@@ -96,25 +96,25 @@
     return CommandRunner(line, transport, random).Run();
   }
 
-  Sources Declare(const std::string& text) const {
+  Sources WriteDeclarations(const std::string& text) const {
     std::ofstream(this->directory / "declarations.toml") << text;
     return {this->directory};
   }
 
-  // Tests run at the same time in processes of their own.
+  // Includes the process id, because tests run in parallel processes.
   const std::filesystem::path directory =
       std::filesystem::path(testing::TempDir()) /
       ("camphorferry_control." + std::to_string(getpid()));
-  const common::KeyId office{"office"};
+  const common::KeyId key_id{"office"};
   std::vector<connection::SocketAddress> operators{{"127.0.0.1", 0}};
   std::vector<FakeDaemon> daemons{2};
   FakeDaemon& daemon = this->daemons.front();
 };
 
-// Guards against a digest that the plan shows and apply does not accept.
+// Guards against a digest that is shown by plan but not accepted by apply.
 TEST_F(CommandRunnerTest, Plan_ThenApply_PutsDeclarationsInForce) {
   const Sources sources =
-      this->Declare("[workspace.trust]\nrate = 50\nburst = 20\n");
+      this->WriteDeclarations("[workspace.trust]\nrate = 50\nburst = 20\n");
   const CommandResult plan = this->Run(PlanCommand{sources});
   EXPECT_NE(plan.text.find("rate: 100 -> 50"), std::string::npos);
   EXPECT_NE(plan.text.find("! key_withdrawn: key office"), std::string::npos);
@@ -125,27 +125,29 @@
   EXPECT_TRUE(this->daemon.current.keys.empty());
 }
 
-// Guards against a confirmation after another operator's change.
-TEST_F(CommandRunnerTest, ConfigurationMoved_Apply_ExitsWithPlanMoved) {
+// Guards against applying a plan after another operator has changed the
+// configuration.
+TEST_F(CommandRunnerTest, ConfigurationChanged_Apply_ExitsWithPlanStale) {
   const Sources sources =
-      this->Declare("[workspace.trust]\nrate = 50\nburst = 20\n");
+      this->WriteDeclarations("[workspace.trust]\nrate = 50\nburst = 20\n");
   const CommandResult plan = this->Run(PlanCommand{sources});
   this->daemon.current.version = 5;
   const CommandResult apply = this->Run(
       ApplyCommand{sources, plan.document.at("digest").get<std::string>()});
-  EXPECT_EQ(apply.exit_code, ExitCode::kPlanMoved);
+  EXPECT_EQ(apply.exit_code, ExitCode::kPlanStale);
   EXPECT_EQ(apply.document.at("base_version"), 5);
 }
 
-// Guards against faulty files that reach a daemon.
+// Guards against sending invalid declarations to a daemon.
 TEST_F(CommandRunnerTest, FaultyFile_Plan_ReportsFaultsLocally) {
-  const CommandResult plan =
-      this->Run(PlanCommand{this->Declare("[workspace.trust]\nrate = 0\n")});
+  const CommandResult plan = this->Run(
+      PlanCommand{this->WriteDeclarations("[workspace.trust]\nrate = 0\n")});
   EXPECT_EQ(plan.exit_code, ExitCode::kInvalidInput);
   EXPECT_EQ(plan.document.at("faults").size(), 2U);
 }
 
-// Guards against a key that does not work, or whose text is declared.
+// Guards against a key that is not accepted after its declaration was applied,
+// and against a declaration that contains the text of the key.
 TEST_F(CommandRunnerTest, KeysIssue_DeclarationApplied_KeyWorks) {
   const CommandResult issued = this->Run(
       KeysIssueCommand{common::WorkspaceId("trust"), common::KeyId("new.k")});
@@ -159,16 +161,16 @@
   EXPECT_TRUE(declared.keys.contains(common::KeyId("new.k")));
 }
 
-// Guards against a withdrawal that changes something else, or that takes
-// effect before it is confirmed.
+// Guards against a withdrawal that changes other objects or takes effect before
+// it is confirmed.
 TEST_F(CommandRunnerTest, KeysWithdraw_Confirmed_RemovesOnlyTheKey) {
   Configuration expected = this->daemon.current;
   const CommandResult plan =
-      this->Run(KeysWithdrawCommand{this->office, std::nullopt});
+      this->Run(KeysWithdrawCommand{this->key_id, std::nullopt});
   EXPECT_EQ(this->daemon.current, expected);
   const auto digest = plan.document.at("digest").get<std::string>();
   const CommandResult applied =
-      this->Run(KeysWithdrawCommand{this->office, digest});
+      this->Run(KeysWithdrawCommand{this->key_id, digest});
   EXPECT_EQ(applied.exit_code, ExitCode::kOk);
   expected.version = 5;
   expected.keys.clear();
@@ -176,12 +178,13 @@
   EXPECT_EQ(this->daemon.current, expected);
 }
 
-// Guards against a lost answer after which the withdrawal cannot be confirmed.
+// Guards against a withdrawal that cannot be confirmed again after its answer
+// was lost.
 TEST_F(CommandRunnerTest, KeysWithdrawAnswerLost_Repeated_IsAlreadyApplied) {
   const CommandResult plan =
-      this->Run(KeysWithdrawCommand{this->office, std::nullopt});
+      this->Run(KeysWithdrawCommand{this->key_id, std::nullopt});
   const KeysWithdrawCommand confirm{
-      this->office, plan.document.at("digest").get<std::string>()};
+      this->key_id, plan.document.at("digest").get<std::string>()};
   this->daemon.lose_answer = true;
   EXPECT_EQ(this->Run(confirm).exit_code, ExitCode::kNoAnswer);
   const CommandResult repeated = this->Run(confirm);
@@ -189,15 +192,15 @@
   EXPECT_EQ(repeated.document.at("result"), "already_applied");
 }
 
-// Guards against a withdrawal that is taken for complete while a daemon still
+// Guards against a withdrawal that seems complete although a daemon still
 // accepts the key.
-TEST_F(CommandRunnerTest, KeysWithdrawOneDaemonBehind_Run_NamesIt) {
+TEST_F(CommandRunnerTest, KeysWithdrawOneDaemonBehind_Run_ReportsIt) {
   this->daemons[1].current = this->daemon.current;
   this->operators = {{"127.0.0.1", 0}, {"127.0.0.1", 1}};
   const CommandResult plan =
-      this->Run(KeysWithdrawCommand{this->office, std::nullopt});
+      this->Run(KeysWithdrawCommand{this->key_id, std::nullopt});
   const CommandResult applied = this->Run(KeysWithdrawCommand{
-      this->office, plan.document.at("digest").get<std::string>()});
+      this->key_id, plan.document.at("digest").get<std::string>()});
   const json in_force = {"127.0.0.1:0"};
   const json not_yet = {"127.0.0.1:1"};
   EXPECT_EQ(applied.document.at("in_force"), in_force);
@@ -205,17 +208,17 @@
   EXPECT_NE(applied.text.find("not_yet: 127.0.0.1:1"), std::string::npos);
 }
 
-// Guards against a mistyped name that looks like a withdrawn key.
-TEST_F(CommandRunnerTest, KeysWithdrawUnknownName_Run_IsNoSuccess) {
+// Guards against reporting success for the withdrawal of a mistyped key name.
+TEST_F(CommandRunnerTest, KeysWithdrawUnknownName_Run_Fails) {
   const common::KeyId mistyped("offise");
   EXPECT_EQ(this->Run(KeysWithdrawCommand{mistyped, std::nullopt}).exit_code,
             ExitCode::kInvalidInput);
   const CommandResult plan =
-      this->Run(KeysWithdrawCommand{this->office, std::nullopt});
+      this->Run(KeysWithdrawCommand{this->key_id, std::nullopt});
   const auto digest = plan.document.at("digest").get<std::string>();
   EXPECT_EQ(this->Run(KeysWithdrawCommand{mistyped, digest}).exit_code,
-            ExitCode::kPlanMoved);
-  EXPECT_TRUE(this->daemon.current.keys.contains(this->office));
+            ExitCode::kPlanStale);
+  EXPECT_TRUE(this->daemon.current.keys.contains(this->key_id));
 }
 
 }  // namespace
