--- a/Source/Load/histogram.h
+++ b/Source/Load/histogram.h
@@ -8,19 +8,19 @@
 
 namespace camphorferry::load {
 
-/// Histogram of latencies with buckets that grow by 2^(1/16), so that a
-/// quantile is off by at most 4.5%. Debian has no C++ package of an HDR
-/// histogram.
+/// Histogram of latencies with exponential buckets that grow by a factor of
+/// 2^(1/16), so that the relative error of a quantile is at most 4.5%. Debian
+/// has no package of a C++ HDR histogram that could be used instead.
 class Histogram {
  public:
-  /// Counts one latency.
+  /// Adds one latency.
   void Record(common::Duration latency);
 
   /// Adds the counts of another histogram.
   void Merge(const Histogram& other);
 
-  /// Upper end of the bucket that holds the quantile, from 0 to 1; zero if
-  /// nothing was counted.
+  /// Upper bound of the bucket that contains the quantile, given as a number
+  /// from 0 to 1. Returns zero if nothing was recorded.
   common::Duration Quantile(double quantile) const;
 
   std::uint64_t Count() const { return this->count; }
--- a/Source/Load/ledger.h
+++ b/Source/Load/ledger.h
@@ -11,43 +11,53 @@
 
 namespace camphorferry::load {
 
-/// How one write ended as the client saw it.
-enum class WriteEnd { kAcknowledged, kNotRun, kUnknown };
+/// Outcome of a write from the client's point of view.
+enum class WriteOutcome { kAcknowledged, kNotRun, kUnknown };
 
-/// What the final check of the databases' content found.
-struct LedgerFindings {
+/// Consistency violations found by the final check of the databases' content.
+struct ConsistencyFindings {
+  /// Acknowledged writes whose effect is missing.
   std::uint64_t lost_acknowledged = 0;
-  std::uint64_t doubled = 0;
+  /// Additions to balances beyond one for each contribution.
+  std::uint64_t duplicated = 0;
+  /// Writes that were reported as not run but have had an effect.
   std::uint64_t false_not_run = 0;
-  std::uint64_t settled_unknown = 0;
+  /// Writes with an unknown outcome that have had an effect. Not a violation.
+  std::uint64_t unknown_that_ran = 0;
+  /// Accounts that could not be read for the check.
   std::uint64_t unreadable_accounts = 0;
 };
 
-/// The client's own account of its writes. Each write puts one contribution
+/// Records the outcomes of all writes as the client saw them, so that they can
+/// be compared with the databases' content. Each write inserts one contribution
 /// with a unique number and adds 1 to the account's balance in the same
-/// transaction, so that a lost or doubled write shows.
-class Ledger {
+/// transaction, so that lost and duplicated writes can be detected.
+class WriteHistory {
  public:
-  /// Records how a write of an account ended.
-  void Record(const std::string& account, std::uint64_t number, WriteEnd end);
+  /// Records the outcome of a write to an account.
+  void Record(const std::string& account, std::uint64_t number,
+              WriteOutcome outcome);
 
-  /// Balance that a session must read at least after its writes.
-  std::int64_t Acknowledged(const std::string& account) const;
+  /// Minimum balance that the session must read: the number of acknowledged
+  /// writes.
+  std::int64_t MinBalance(const std::string& account) const;
 
-  /// Balance that a session can read at most.
-  std::int64_t Possible(const std::string& account) const;
+  /// Maximum balance that the session can read: acknowledged writes and those
+  /// with an unknown outcome.
+  std::int64_t MaxBalance(const std::string& account) const;
 
-  /// Accounts that were written to.
+  /// Accounts for which a write was recorded.
   std::vector<std::string> Accounts() const;
 
-  /// Compares an account's content with what the client was told.
+  /// Compares an account's content in the database with the recorded outcomes
+  /// and adds violations to the findings.
   void Check(const std::string& account, std::int64_t balance,
              const std::set<std::uint64_t>& contributions,
-             LedgerFindings* findings) const;
+             ConsistencyFindings* findings) const;
 
  private:
   struct Account {
-    std::map<std::uint64_t, WriteEnd> writes;
+    std::map<std::uint64_t, WriteOutcome> writes;
     std::int64_t acknowledged = 0;
     std::int64_t unknown = 0;
   };
--- a/Source/Load/load_run.cc
+++ b/Source/Load/load_run.cc
@@ -4,14 +4,14 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kCheckInterval(50);
+constexpr std::chrono::milliseconds kFinishCheckInterval(50);
 
 }  // namespace
 
 LoadRun::LoadRun(const LoadPlan& plan) : plan(plan) {
   this->context.loop = &this->loop;
   this->context.plan = &this->plan;
-  this->context.ledger = &this->ledger;
+  this->context.write_history = &this->write_history;
   this->context.statistics = &this->statistics;
 }
 
@@ -25,25 +25,25 @@
       this->workers.back()->Start();
     }
   }
-  this->check =
-      this->loop.Every(kCheckInterval, [this] { this->CheckFinished(); });
+  this->finish_timer = this->loop.Every(kFinishCheckInterval,
+                                        [this] { this->VerifyWhenFinished(); });
   this->loop.Run();
 }
 
-void LoadRun::CheckFinished() {
+void LoadRun::VerifyWhenFinished() {
   for (const auto& worker : this->workers) {
     if (!worker->Finished()) return;
   }
-  this->check.reset();
+  this->finish_timer.reset();
   this->VerifyNext();
 }
 
 void LoadRun::VerifyNext() {
-  if (this->verified == this->workers.size()) {
+  if (this->verified_workers == this->workers.size()) {
     this->loop.Stop();
     return;
   }
-  SessionWorker* worker = this->workers[this->verified++].get();
+  SessionWorker* worker = this->workers[this->verified_workers++].get();
   worker->Verify(&this->findings, [this] { this->VerifyNext(); });
 }
 
--- a/Source/Load/load_run.h
+++ b/Source/Load/load_run.h
@@ -8,30 +8,30 @@
 
 namespace camphorferry::load {
 
-/// Runs a load plan from start to the check of the databases' content.
+/// Runs the sessions of a load plan and then checks the databases' content.
 class LoadRun {
  public:
   explicit LoadRun(const LoadPlan& plan);
 
-  /// Runs the load and the check; returns when both are done.
+  /// Runs the load and then the check; blocks until both are done.
   void Run();
 
   const Statistics& Results() const { return this->statistics; }
-  const LedgerFindings& Findings() const { return this->findings; }
+  const ConsistencyFindings& Findings() const { return this->findings; }
 
  private:
-  void CheckFinished();
+  void VerifyWhenFinished();
   void VerifyNext();
 
   const LoadPlan& plan;
   connection::EventLoop loop;
-  Ledger ledger;
+  WriteHistory write_history;
   Statistics statistics;
-  LedgerFindings findings;
+  ConsistencyFindings findings;
   LoadContext context;
   std::vector<std::unique_ptr<SessionWorker>> workers;
-  std::size_t verified = 0;
-  std::unique_ptr<connection::Timer> check;
+  std::size_t verified_workers = 0;
+  std::unique_ptr<connection::Timer> finish_timer;
 };
 
 }  // namespace camphorferry::load
--- a/Source/Load/main.cc
+++ b/Source/Load/main.cc
@@ -5,7 +5,8 @@
 
 #include "Load/load_run.h"
 
-/// Drives a fleet with the load of a file and checks every answer.
+/// Load generator: sends the load that a file describes to a fleet of daemons
+/// and checks the consistency of every answer.
 
 namespace {
 
@@ -13,10 +14,10 @@
 using camphorferry::load::LoadRun;
 
 constexpr int kExitOk = 0;
-constexpr int kExitBroken = 1;
+constexpr int kExitInconsistent = 1;
 constexpr int kExitUsage = 2;
 
-/// What the command line asked for.
+/// Values of the command-line options.
 struct Options {
   std::string file;
   std::string profile = "none";
@@ -34,7 +35,7 @@
   free(value);
 }
 
-/// Reads the command line; false on a usage error, which was reported.
+/// Parses the command line. Returns false for invalid arguments.
 bool ReadOptions(int argc, const char** argv, Options* options) {
   char* profile = nullptr;
   char* fault = nullptr;
@@ -77,12 +78,12 @@
   run.Run();
   camphorferry::load::PrintFigures(plan, run.Results(), run.Findings(),
                                    options.profile, options.fault);
-  const camphorferry::load::LedgerFindings& findings = run.Findings();
-  const bool intact = findings.lost_acknowledged == 0 &&
-                      findings.doubled == 0 && findings.false_not_run == 0 &&
-                      run.Results().stale_own_reads == 0 &&
-                      run.Results().crossed_answers == 0;
-  return intact ? kExitOk : kExitBroken;
+  const camphorferry::load::ConsistencyFindings& findings = run.Findings();
+  const bool consistent =
+      findings.lost_acknowledged == 0 && findings.duplicated == 0 &&
+      findings.false_not_run == 0 && run.Results().stale_own_reads == 0 &&
+      run.Results().crossed_answers == 0;
+  return consistent ? kExitOk : kExitInconsistent;
 }
 
 }  // namespace
--- a/Source/Load/session_worker.cc
+++ b/Source/Load/session_worker.cc
@@ -11,16 +11,17 @@
 using nlohmann::json;
 
 constexpr std::chrono::seconds kAnswerTimeout(6);
-constexpr std::chrono::seconds kSettleTimeout(20);
-constexpr std::chrono::milliseconds kRetryPause(50);
-/// Part of the requests for which a session moves to another daemon.
-constexpr double kMoveShare = 0.2;
+constexpr std::chrono::seconds kWriteRetryTimeout(20);
+constexpr std::chrono::milliseconds kRetryDelay(50);
+/// Probability that a session connects to another daemon before a request.
+constexpr double kReconnectProbability = 0.2;
 constexpr int kMaxVerifyAttempts = 100;
-/// Daemons tried for one request until one takes the connection.
-constexpr int kMaxConnectAttempts = 16;
+/// Maximum number of further daemons that are tried for a request if no
+/// connection can be established.
+constexpr int kMaxReconnects = 16;
 constexpr std::uint32_t kScanLimit = 1000;
 
-json BalanceRead(const std::string& account) {
+json BalanceOperations(const std::string& account) {
   return {{{"op", "get"}, {"table", "balance"}, {"key", account}},
           {{"op", "get"}, {"table", "owner"}, {"key", account}}};
 }
@@ -45,35 +46,37 @@
       random(context->plan->seed ^ std::hash<std::string>()(this->account)) {}
 
 void SessionWorker::Start() {
-  const double spread = std::uniform_real_distribution<>(0, 1)(this->random);
-  this->next_due =
-      this->context->start +
-      std::chrono::duration_cast<common::Duration>(
-          std::chrono::duration<double>(spread * this->workspace->sessions /
-                                        this->workspace->rate));
+  const double start_fraction =
+      std::uniform_real_distribution<>(0, 1)(this->random);
+  this->next_request_time = this->context->start +
+                            std::chrono::duration_cast<common::Duration>(
+                                std::chrono::duration<double>(
+                                    start_fraction * this->workspace->sessions /
+                                    this->workspace->rate));
   this->ScheduleNext();
 }
 
 void SessionWorker::ScheduleNext() {
   const common::SteadyTime now = common::SteadyNow();
-  if (std::max(now, this->next_due) >= this->context->end) {
+  if (std::max(now, this->next_request_time) >= this->context->end) {
     this->finished = true;
     return;
   }
   const common::Duration delay = std::max<common::Duration>(
-      this->next_due - now, common::Duration::zero());
+      this->next_request_time - now, common::Duration::zero());
   this->context->loop->RunLater(delay, [this] { this->StartRequest(); });
 }
 
 void SessionWorker::StartRequest() {
   const std::chrono::duration<double> interval(this->workspace->sessions /
                                                this->workspace->rate);
-  // A session that fell behind does not catch up in a burst of its own.
-  this->next_due = std::max(
-      this->next_due + std::chrono::duration_cast<common::Duration>(interval),
-      common::SteadyNow());
+  // A session that is late does not catch up with a burst of requests.
+  this->next_request_time =
+      std::max(this->next_request_time +
+                   std::chrono::duration_cast<common::Duration>(interval),
+               common::SteadyNow());
   this->request_start = common::SteadyNow();
-  ++this->counts->asked;
+  ++this->counts->requested;
   if (this->next_write == 1 || this->Chance(this->context->plan->write_share)) {
     this->StartWrite();
   } else {
@@ -82,17 +85,18 @@
 }
 
 void SessionWorker::StartRead() {
-  const bool aged = this->Chance(this->context->plan->aged_share);
+  const bool has_max_age = this->Chance(this->context->plan->aged_share);
   connection::HttpRequest request =
-      this->NewRequest(BalanceRead(this->account), true);
-  if (aged) {
+      this->NewRequest(BalanceOperations(this->account), true);
+  if (has_max_age) {
     request.headers.erase("Camphorferry-Session");
     request.headers["Camphorferry-Max-Age-Ms"] = std::to_string(
         common::ToMilliseconds(this->context->plan->max_age).count());
   }
-  this->Send(request, [this, aged](const connection::HttpResult& result) {
-    this->OnReadAnswer(aged, result);
-  });
+  this->Send(request,
+             [this, has_max_age](const connection::HttpResult& result) {
+               this->OnReadAnswer(has_max_age, result);
+             });
 }
 
 void SessionWorker::StartWrite() {
@@ -111,7 +115,7 @@
                             {"value", this->account}}};
   this->write = this->NewRequest(operations, false);
   this->write_keyed = !this->Chance(this->context->plan->unkeyed_share);
-  this->write_unsettled = false;
+  this->write_may_have_run = false;
   if (this->write_keyed) {
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(
         common::WallNow().time_since_epoch());
@@ -130,39 +134,42 @@
 }
 
 void SessionWorker::OnWriteAnswer(const connection::HttpResult& result) {
-  const json body = this->TakeBody(result);
+  const json body = this->ReadAnswer(result);
   const std::string outcome = body.value("outcome", std::string());
   const auto* failure = std::get_if<connection::HttpFailure>(&result);
   const bool not_sent =
       failure != nullptr && *failure == connection::HttpFailure::kNotSent;
   if (outcome == "done") {
-    this->EndWrite(WriteEnd::kAcknowledged);
+    this->EndWrite(WriteOutcome::kAcknowledged);
     return;
   }
-  // After an unknown attempt, a later "not run" says nothing about it.
-  const bool settled_not_run = outcome == "not_run" && !this->write_unsettled;
-  if (settled_not_run) {
+  // After an attempt with an unknown outcome, "not run" only refers to a later
+  // attempt.
+  const bool certainly_not_run =
+      outcome == "not_run" && !this->write_may_have_run;
+  if (certainly_not_run) {
     this->CountOutcome(body);
-    this->EndWrite(WriteEnd::kNotRun);
+    this->EndWrite(WriteOutcome::kNotRun);
     return;
   }
-  if (!not_sent && outcome != "not_run") this->write_unsettled = true;
+  if (!not_sent && outcome != "not_run") this->write_may_have_run = true;
   const bool in_time =
-      common::SteadyNow() < this->request_start + kSettleTimeout;
+      common::SteadyNow() < this->request_start + kWriteRetryTimeout;
   const bool may_repeat = this->write_keyed || not_sent;
   if (may_repeat && in_time) {
-    this->context->loop->RunLater(kRetryPause, [this] { this->SendWrite(); });
+    this->context->loop->RunLater(kRetryDelay, [this] { this->SendWrite(); });
     return;
   }
   this->CountOutcome(body);
-  this->EndWrite(this->write_unsettled ? WriteEnd::kUnknown
-                                       : WriteEnd::kNotRun);
+  this->EndWrite(this->write_may_have_run ? WriteOutcome::kUnknown
+                                          : WriteOutcome::kNotRun);
 }
 
-void SessionWorker::EndWrite(WriteEnd end) {
-  this->context->ledger->Record(this->account, this->next_write++, end);
+void SessionWorker::EndWrite(WriteOutcome outcome) {
+  this->context->write_history->Record(this->account, this->next_write++,
+                                       outcome);
   const common::SteadyTime now = common::SteadyNow();
-  if (end == WriteEnd::kAcknowledged) {
+  if (outcome == WriteOutcome::kAcknowledged) {
     ++this->counts->served;
     this->counts->admitted.push_back(now);
     this->context->statistics->writes.Record(now - this->request_start);
@@ -178,26 +185,26 @@
   this->ScheduleNext();
 }
 
-void SessionWorker::OnReadAnswer(bool aged,
+void SessionWorker::OnReadAnswer(bool has_max_age,
                                  const connection::HttpResult& result) {
-  // An aged read is sent without the session, so its token would set the
-  // session back.
-  const std::string before = this->session;
-  const json body = this->TakeBody(result);
-  if (aged) this->session = before;
+  // A read with a maximum age is sent without the session token, so the token
+  // in its answer may have earlier positions than the session.
+  const std::string session_before = this->session;
+  const json body = this->ReadAnswer(result);
+  if (has_max_age) this->session = session_before;
   if (body.value("outcome", std::string()) == "done") {
     ++this->counts->served;
     this->counts->admitted.push_back(common::SteadyNow());
     this->context->statistics->reads.Record(common::SteadyNow() -
                                             this->request_start);
-    this->CheckRead(aged, body);
+    this->CheckRead(has_max_age, body);
   } else {
     this->CountOutcome(body);
   }
   this->ScheduleNext();
 }
 
-void SessionWorker::CheckRead(bool aged, const json& body) {
+void SessionWorker::CheckRead(bool has_max_age, const json& body) {
   Statistics* statistics = this->context->statistics;
   if (body.value("served_by", std::string()) == "replica") {
     ++statistics->replica_reads;
@@ -205,9 +212,9 @@
     ++statistics->primary_reads;
   }
   const json& results = body.at("results");
-  const bool whole = results.is_array() && results.size() == 2;
+  const bool complete = results.is_array() && results.size() == 2;
   const bool own =
-      whole && (results[1].is_null() || results[1] == json(this->account));
+      complete && (results[1].is_null() || results[1] == json(this->account));
   const bool same_request =
       body.value("request_id", std::string()) == this->request_id;
   if (!own || !same_request) {
@@ -216,15 +223,15 @@
   }
   const std::int64_t balance =
       results[0].is_number_integer() ? results[0].get<std::int64_t>() : 0;
-  if (balance > this->context->ledger->Possible(this->account)) {
+  if (balance > this->context->write_history->MaxBalance(this->account)) {
     ++statistics->crossed_answers;
   }
-  if (aged) {
+  if (has_max_age) {
     const std::chrono::milliseconds age(body.value("age_ms", std::int64_t{0}));
     if (age > this->context->plan->max_age) ++statistics->over_age_reads;
     return;
   }
-  if (balance < this->context->ledger->Acknowledged(this->account)) {
+  if (balance < this->context->write_history->MinBalance(this->account)) {
     ++statistics->stale_own_reads;
   }
 }
@@ -238,15 +245,15 @@
   if (body.empty()) ++this->context->statistics->cut_requests;
 }
 
-void SessionWorker::Verify(LedgerFindings* findings,
+void SessionWorker::Verify(ConsistencyFindings* findings,
                            std::function<void()> done) {
   this->findings = findings;
-  this->verified = std::move(done);
+  this->on_verified = std::move(done);
   this->SendVerify();
 }
 
 void SessionWorker::SendVerify() {
-  json operations = BalanceRead(this->account);
+  json operations = BalanceOperations(this->account);
   operations.push_back({{"op", "scan"},
                         {"table", "contribution"},
                         {"prefix", this->account + "/"},
@@ -258,15 +265,15 @@
 }
 
 void SessionWorker::OnVerifyAnswer(const connection::HttpResult& result) {
-  const json body = this->TakeBody(result);
+  const json body = this->ReadAnswer(result);
   if (body.value("outcome", std::string()) != "done") {
     if (++this->verify_attempts < kMaxVerifyAttempts) {
-      this->context->loop->RunLater(2 * kRetryPause,
+      this->context->loop->RunLater(2 * kRetryDelay,
                                     [this] { this->SendVerify(); });
       return;
     }
     ++this->findings->unreadable_accounts;
-    this->verified();
+    this->on_verified();
     return;
   }
   const json& results = body.at("results");
@@ -276,9 +283,9 @@
   for (const json& record : results[2]) {
     contributions.insert(record.at("value").get<std::uint64_t>());
   }
-  this->context->ledger->Check(this->account, balance, contributions,
-                               this->findings);
-  this->verified();
+  this->context->write_history->Check(this->account, balance, contributions,
+                                      this->findings);
+  this->on_verified();
 }
 
 connection::HttpRequest SessionWorker::NewRequest(const json& operations,
@@ -301,39 +308,42 @@
 
 void SessionWorker::Send(const connection::HttpRequest& request,
                          connection::HttpClientConnection::Callback callback) {
-  const bool usable = this->link != nullptr && this->link->Usable();
-  if (!usable || this->Chance(kMoveShare)) this->OpenLink();
-  this->SendOnLink(request, std::move(callback), kMaxConnectAttempts);
+  const bool usable =
+      this->http_connection != nullptr && this->http_connection->Usable();
+  if (!usable || this->Chance(kReconnectProbability)) this->Reconnect();
+  this->SendOrReconnect(request, std::move(callback), kMaxReconnects);
 }
 
-void SessionWorker::OpenLink() {
+void SessionWorker::Reconnect() {
   const auto& clients = this->context->plan->clients;
   const std::size_t choice = this->random() % clients.size();
-  this->link = std::make_unique<connection::HttpClientConnection>(
+  this->http_connection = std::make_unique<connection::HttpClientConnection>(
       this->context->loop, clients[choice]);
 }
 
-void SessionWorker::SendOnLink(
+void SessionWorker::SendOrReconnect(
     const connection::HttpRequest& request,
-    connection::HttpClientConnection::Callback callback, int attempts_left) {
-  this->link->Send(
+    connection::HttpClientConnection::Callback callback, int reconnects_left) {
+  this->http_connection->Send(
       request, kAnswerTimeout,
       [this, request, callback = std::move(callback),
-       attempts_left](connection::HttpResult result) mutable {
+       reconnects_left](connection::HttpResult result) mutable {
         const auto* failure = std::get_if<connection::HttpFailure>(&result);
         const bool refused =
             failure != nullptr && *failure == connection::HttpFailure::kNotSent;
-        if (!refused || attempts_left == 0) {
+        if (!refused || reconnects_left == 0) {
           callback(std::move(result));
           return;
         }
-        // A load balancer would have chosen another daemon.
-        this->OpenLink();
-        this->SendOnLink(request, std::move(callback), attempts_left - 1);
+        // Clients connect through a load balancer, which would choose another
+        // daemon.
+        this->Reconnect();
+        this->SendOrReconnect(request, std::move(callback),
+                              reconnects_left - 1);
       });
 }
 
-json SessionWorker::TakeBody(const connection::HttpResult& result) {
+json SessionWorker::ReadAnswer(const connection::HttpResult& result) {
   const auto* response = std::get_if<connection::HttpResponse>(&result);
   if (response == nullptr) return json::object();
   const auto token = response->headers.find("camphorferry-session");
@@ -342,8 +352,8 @@
   return body.is_object() ? body : json::object();
 }
 
-bool SessionWorker::Chance(double share) {
-  return std::uniform_real_distribution<>(0, 1)(this->random) < share;
+bool SessionWorker::Chance(double probability) {
+  return std::uniform_real_distribution<>(0, 1)(this->random) < probability;
 }
 
 }  // namespace camphorferry::load
--- a/Source/Load/session_worker.h
+++ b/Source/Load/session_worker.h
@@ -13,27 +13,28 @@
 
 namespace camphorferry::load {
 
-/// What all sessions of a run share.
+/// State that all sessions of a run share.
 struct LoadContext {
   connection::EventLoop* loop = nullptr;
   const LoadPlan* plan = nullptr;
-  Ledger* ledger = nullptr;
+  WriteHistory* write_history = nullptr;
   Statistics* statistics = nullptr;
   common::SteadyTime start;
   /// No new request starts after this time.
   common::SteadyTime end;
-  /// Latest acknowledged write of each route.
+  /// Time of the latest acknowledged write on each route.
   std::map<std::string, common::SteadyTime> last_write;
 };
 
-/// One client session with an account of its own. It sends requests at a steady
-/// pace, one at a time, moves between daemons, and checks each answer.
+/// One client session, which reads and writes its own account. It sends
+/// requests one at a time at a constant rate, changes daemons at random, and
+/// checks each answer.
 class SessionWorker {
  public:
   SessionWorker(LoadContext* context, const WorkspaceLoad* workspace,
                 std::uint32_t number);
 
-  /// Starts the first request after a part of the interval.
+  /// Schedules the first request after a random part of the request interval.
   void Start();
 
   /// True once the last request has ended.
@@ -41,8 +42,9 @@
 
   const std::string& Account() const { return this->account; }
 
-  /// Reads the account's whole content at the end of the run.
-  void Verify(LedgerFindings* findings, std::function<void()> done);
+  /// Reads the account's whole content at the end of the run, adds violations
+  /// to the findings, and calls done.
+  void Verify(ConsistencyFindings* findings, std::function<void()> done);
 
  private:
   void ScheduleNext();
@@ -51,9 +53,9 @@
   void StartWrite();
   void SendWrite();
   void OnWriteAnswer(const connection::HttpResult& result);
-  void EndWrite(WriteEnd end);
-  void OnReadAnswer(bool aged, const connection::HttpResult& result);
-  void CheckRead(bool aged, const nlohmann::json& body);
+  void EndWrite(WriteOutcome outcome);
+  void OnReadAnswer(bool has_max_age, const connection::HttpResult& result);
+  void CheckRead(bool has_max_age, const nlohmann::json& body);
   void CountOutcome(const nlohmann::json& body);
   void SendVerify();
   void OnVerifyAnswer(const connection::HttpResult& result);
@@ -62,12 +64,12 @@
                                      bool repeatable);
   void Send(const connection::HttpRequest& request,
             connection::HttpClientConnection::Callback callback);
-  void OpenLink();
-  void SendOnLink(const connection::HttpRequest& request,
-                  connection::HttpClientConnection::Callback callback,
-                  int attempts_left);
-  nlohmann::json TakeBody(const connection::HttpResult& result);
-  bool Chance(double share);
+  void Reconnect();
+  void SendOrReconnect(const connection::HttpRequest& request,
+                       connection::HttpClientConnection::Callback callback,
+                       int reconnects_left);
+  nlohmann::json ReadAnswer(const connection::HttpResult& result);
+  bool Chance(double probability);
 
   LoadContext* context;
   const WorkspaceLoad* workspace;
@@ -75,20 +77,22 @@
   std::string account;
   std::string route;
   std::mt19937_64 random;
-  std::unique_ptr<connection::HttpClientConnection> link;
+  std::unique_ptr<connection::HttpClientConnection> http_connection;
   std::string session;
   std::string request_id;
   std::uint64_t next_request = 1;
   std::uint64_t next_write = 1;
-  /// The write in progress.
+  /// Request of the write in progress.
   connection::HttpRequest write;
   bool write_keyed = false;
-  bool write_unsettled = false;
+  /// An earlier attempt of the write in progress has an unknown outcome.
+  bool write_may_have_run = false;
   common::SteadyTime request_start;
-  common::SteadyTime next_due;
+  /// Earliest start of the next request.
+  common::SteadyTime next_request_time;
   bool finished = false;
-  LedgerFindings* findings = nullptr;
-  std::function<void()> verified;
+  ConsistencyFindings* findings = nullptr;
+  std::function<void()> on_verified;
   int verify_attempts = 0;
 };
 
