--- a/Source/Load/session_worker.h
+++ b/Source/Load/session_worker.h
@@ -7,9 +7,9 @@
 #include <random>
 #include <string>
 
-#include "Load/ledger.h"
 #include "Load/load_plan.h"
 #include "Load/statistics.h"
+#include "Load/write_history.h"
 
 namespace camphorferry::load {
 
--- a/Source/Load/statistics.h
+++ b/Source/Load/statistics.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "Load/histogram.h"
-#include "Load/ledger.h"
 #include "Load/load_plan.h"
+#include "Load/write_history.h"
 
 namespace camphorferry::load {
 
--- a/Source/Load/ledger.cc
+++ b/Source/Load/write_history.cc
@@ -1,4 +1,4 @@
-#include "Load/ledger.h"
+#include "Load/write_history.h"
 
 namespace camphorferry::load {
 
--- a/Source/Load/ledger.h
+++ b/Source/Load/write_history.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_LOAD_LEDGER_H_
-#define CAMPHORFERRY_LOAD_LEDGER_H_
+#ifndef CAMPHORFERRY_LOAD_WRITE_HISTORY_H_
+#define CAMPHORFERRY_LOAD_WRITE_HISTORY_H_
 
 #include <cstdint>
 #include <map>
@@ -67,4 +67,4 @@
 
 }  // namespace camphorferry::load
 
-#endif  // CAMPHORFERRY_LOAD_LEDGER_H_
+#endif  // CAMPHORFERRY_LOAD_WRITE_HISTORY_H_
