--- a/Source/UnitTests/Core/Session/grpc_fleet_transport_test.cc
+++ b/Source/UnitTests/Core/Session/grpc_fleet_transport_test.cc
@@ -25,10 +25,10 @@
       if (request.workspace.Value() == "full") reply.retry_after = seconds(2);
       return reply;
     };
-    handlers.read_directory = [](const DirectoryQuestion& question) {
+    handlers.read_directory = [](const DirectoryQuestion& query) {
       SharedDirectory shared;
-      shared.revision = question.revision + 1;
-      shared.objects.push_back({ToString(question.kind), 4, std::nullopt});
+      shared.revision = query.revision + 1;
+      shared.objects.push_back({ToString(query.kind), 4, std::nullopt});
       // Documents are bytes of any kind.
       shared.objects.push_back({"bytes", 5, std::string("\0\xff", 2)});
       return shared;
@@ -65,16 +65,16 @@
 
 TEST_F(GrpcFleetTransportTest, TwoWorkspaces_Admit_CarriesBothAnswers) {
   connection::EventLoop loop;
-  const auto asker = NewTransport(&loop, "asker");
-  const auto keeper = NewTransport(&loop, "keeper");
+  const auto requester = NewTransport(&loop, "asker");
+  const auto rate_owner = NewTransport(&loop, "keeper");
   std::vector<std::optional<AdmissionReply>> replies;
   for (const char* workspace : {"free", "full"}) {
-    asker->Admit(Address(*keeper),
-                 {common::HostId("asker"), common::WorkspaceId(workspace)},
-                 seconds(5), [&](const auto& reply) {
-                   replies.push_back(reply);
-                   loop.Stop();
-                 });
+    requester->Admit(Address(*rate_owner),
+                     {common::HostId("asker"), common::WorkspaceId(workspace)},
+                     seconds(5), [&](const auto& reply) {
+                       replies.push_back(reply);
+                       loop.Stop();
+                     });
     loop.Run();
   }
   ASSERT_EQ(replies.size(), 2U);
@@ -85,16 +85,16 @@
 
 TEST_F(GrpcFleetTransportTest, EachKind_ReadDirectory_CarriesItsObjects) {
   connection::EventLoop loop;
-  const auto asker = NewTransport(&loop, "asker");
+  const auto requester = NewTransport(&loop, "asker");
   const auto peer = NewTransport(&loop, "peer");
   for (const DirectoryKind kind :
        {DirectoryKind::kConfiguration, DirectoryKind::kMembers}) {
     std::optional<SharedDirectory> answer;
-    asker->ReadDirectory(Address(*peer), {kind, 8}, seconds(5),
-                         [&](const auto& got) {
-                           answer = got;
-                           loop.Stop();
-                         });
+    requester->ReadDirectory(Address(*peer), {kind, 8}, seconds(5),
+                             [&](const auto& got) {
+                               answer = got;
+                               loop.Stop();
+                             });
     loop.Run();
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer->revision, 9U);
@@ -106,25 +106,26 @@
 }
 
 // Guards against an operation that waits for a keeper which is gone.
-TEST_F(GrpcFleetTransportTest, KeeperGone_Admit_CallsBackWithNothing) {
+TEST_F(GrpcFleetTransportTest, OwnerGone_Admit_CallsBackWithNothing) {
   connection::EventLoop loop;
-  const auto asker = NewTransport(&loop, "asker");
+  const auto requester = NewTransport(&loop, "asker");
   auto gone = NewTransport(&loop, "gone");
   const std::string address = Address(*gone);
   gone.reset();
   bool answered = true;
-  asker->Admit(address, {common::HostId("asker"), common::WorkspaceId("w")},
-               milliseconds(500), [&](const auto& reply) {
-                 answered = reply.has_value();
-                 loop.Stop();
-               });
+  requester->Admit(address, {common::HostId("asker"), common::WorkspaceId("w")},
+                   milliseconds(500), [&](const auto& reply) {
+                     answered = reply.has_value();
+                     loop.Stop();
+                   });
   loop.Run();
   EXPECT_FALSE(answered);
 }
 
 // Guards against a process that stays until it is killed because a peer's call
 // was open when its event loop ended.
-TEST_F(GrpcFleetTransportTest, CallOpenWhenTheLoopEnded_Destruction_Returns) {
+TEST_F(GrpcFleetTransportTest,
+       CallInProgressWhenTheLoopEnds_Destruction_Returns) {
   connection::EventLoop caller_loop;
   connection::EventLoop ended_loop;
   const auto caller = NewTransport(&caller_loop, "caller");
--- a/Source/UnitTests/Core/Session/primary_monitor_test.cc
+++ b/Source/UnitTests/Core/Session/primary_monitor_test.cc
@@ -13,10 +13,10 @@
  protected:
   PrimaryMonitorTest() { this->monitor.OnPrimaryChanged(kStart, true); }
 
-  void MissUntil(common::SteadyTime end) {
+  void LoseContactUntil(common::SteadyTime end) {
     for (common::SteadyTime now = kStart; now <= end;
          now += milliseconds(100)) {
-      this->monitor.OnUnreached(now);
+      this->monitor.OnUnresponsive(now);
     }
   }
 
@@ -25,23 +25,23 @@
 
 // Guards against a promotion because of one lost connection.
 TEST_F(PrimaryMonitorTest, OneFailure_Decide_OnlyProbes) {
-  this->monitor.OnUnreached(kStart);
-  const MonitorVerdict verdict =
+  this->monitor.OnUnresponsive(kStart);
+  const FailoverDecision decision =
       this->monitor.Decide(kStart + milliseconds(900));
-  EXPECT_TRUE(verdict.probe);
-  EXPECT_FALSE(verdict.replace.has_value());
+  EXPECT_TRUE(decision.probe);
+  EXPECT_FALSE(decision.replace.has_value());
 }
 
 // Guards against a primary that is never replaced.
 TEST_F(PrimaryMonitorTest, SilentPrimary_Decide_Replaces) {
-  this->MissUntil(kStart + milliseconds(600));
+  this->LoseContactUntil(kStart + milliseconds(600));
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(600)).replace,
             ReplaceReason::kDead);
 }
 
 // Guards against replacing a primary because this daemon alone is cut off.
 TEST_F(PrimaryMonitorTest, ReplicasStillReceive_Decide_Waits) {
-  this->MissUntil(kStart + milliseconds(1000));
+  this->LoseContactUntil(kStart + milliseconds(1000));
   this->monitor.OnReplicaPosition(kStart + milliseconds(900), {1, 9});
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(1000)).replace.has_value());
@@ -55,13 +55,13 @@
   this->monitor.OnCommitUnanswered(kStart + milliseconds(100));
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(400)).replace,
             ReplaceReason::kStalled);
-  this->monitor.OnCommitDone(kStart + milliseconds(450));
+  this->monitor.OnCommitSuccess(kStart + milliseconds(450));
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(500)).replace.has_value());
 }
 
 // Guards against a group that stays without a primary.
-TEST_F(PrimaryMonitorTest, NoPrimary_Decide_ReplacesAfterAWhile) {
+TEST_F(PrimaryMonitorTest, NoPrimary_Decide_ReplacesAfterADelay) {
   this->monitor.OnPrimaryChanged(kStart, false);
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(1000)).replace.has_value());
@@ -71,7 +71,7 @@
 
 // Guards against a promotion beside one that is under way, and against one for
 // a replica that was found held long ago.
-TEST_F(PrimaryMonitorTest, ReplicaHeld_Decide_ReplacesOnlyWhenItStays) {
+TEST_F(PrimaryMonitorTest, ReplicaHeld_Decide_ReplacesOnlyIfItStaysHeld) {
   const common::EndpointId replica("a");
   for (int ms = 0; ms <= 3000; ms += 500) {
     this->monitor.OnReplicaHeld(kStart + milliseconds(ms), replica, true);
--- a/Source/UnitTests/Core/Session/primary_view_test.cc
+++ b/Source/UnitTests/Core/Session/primary_view_test.cc
@@ -48,7 +48,7 @@
 }
 
 // Guards against the claim of a member that was started anew and knows nothing.
-TEST_F(PrimaryViewTest, RebornAsReplica_Primary_IsNone) {
+TEST_F(PrimaryViewTest, RestartedAsReplica_Primary_IsNone) {
   this->view.OnMembers({Entry("a", true, 1)});
   this->view.OnMembers({Entry("a", false, 2)});
   EXPECT_FALSE(this->view.Primary().has_value());
--- a/Source/UnitTests/Core/Session/promotion_plan_test.cc
+++ b/Source/UnitTests/Core/Session/promotion_plan_test.cc
@@ -89,7 +89,8 @@
 
 // Guards against losing commits of a primary that has stepped down and is ahead
 // of the only replica that answers.
-TEST_F(PromotionPlanTest, ReplicaBehindSteppedDown_Order_GoesBack) {
+TEST_F(PromotionPlanTest,
+       ReplicaBehindSteppedDown_Order_ReinstatesTheOldPrimary) {
   const common::SteadyTime late = kStart + milliseconds(400);
   this->plan.OnStatus(this->p, Held(3, 11, 0), late);
   EXPECT_EQ(
@@ -102,7 +103,7 @@
 }
 
 // Guards against replicas that stay held after a plan has given up.
-TEST_F(PromotionPlanTest, MembersUnreachable_OnTick_ResumesAndEnds) {
+TEST_F(PromotionPlanTest, MembersUnreachable_FencingTimeout_ResumesAndEnds) {
   const auto actions = this->plan.OnTick(kStart + milliseconds(2000));
   const auto* finished = Find<PromotionFinished>(actions);
   ASSERT_NE(finished, nullptr);
@@ -112,7 +113,7 @@
 
 // Guards against letting replicas receive while an order may still be carried
 // out: its position would be outdated.
-TEST_F(PromotionPlanTest, OrderWithoutAnswer_GivenUp_DoesNotResume) {
+TEST_F(PromotionPlanTest, OrderWithoutAnswer_PlanTimeout_DoesNotResume) {
   const common::SteadyTime late = kStart + milliseconds(400);
   this->plan.OnStatus(this->a, Held(3, 10, 4), late);
   this->plan.OnStatus(this->b, Held(3, 12, 4), late);
@@ -134,12 +135,12 @@
 }
 
 // Guards against using the answer of a replica that was started anew since.
-TEST_F(PromotionPlanTest, ReplicaReborn_OnMembers_FencesItAnew) {
+TEST_F(PromotionPlanTest, ReplicaRestarted_OnMembers_FencesItAgain) {
   const common::SteadyTime late = kStart + milliseconds(400);
   this->plan.OnStatus(this->a, Held(3, 10, 4), late);
-  GroupMember reborn = Member("a");
-  reborn.born = 2;
-  this->plan.OnMembers({Member("p"), reborn, Member("b")}, late);
+  GroupMember restarted = Member("a");
+  restarted.born = 2;
+  this->plan.OnMembers({Member("p"), restarted, Member("b")}, late);
   const auto actions = this->plan.OnStatus(this->b, Held(3, 9, 4), late);
   EXPECT_EQ(Find<OrderPromotion>(actions), nullptr);
 }
@@ -164,7 +165,7 @@
   }
 
   /// The old primary writes one commit to the replicas that it reaches.
-  void Commit(bool first_only) {
+  void Commit(bool one_replica_only) {
     Database& primary = this->databases["p"];
     if (!primary.primary) return;
     ++primary.received;
@@ -175,7 +176,7 @@
       }
       replica.received = primary.received;
       this->acknowledged = std::max(this->acknowledged, primary.received);
-      if (first_only) break;
+      if (one_replica_only) break;
     }
   }
 
@@ -246,7 +247,7 @@
         next.push_back(answer);
       }
     }
-    now += kPromotionTick;
+    now += kPromotionTickInterval;
     for (auto& action : plan.OnTick(now)) next.push_back(action);
     open = std::move(next);
   }
--- a/Source/UnitTests/Core/Session/workspace_limiter_test.cc
+++ b/Source/UnitTests/Core/Session/workspace_limiter_test.cc
@@ -19,8 +19,8 @@
 
 /// Operations that the contract allows in one window.
 double AllowedInWindow(const WorkspaceRate& rate) {
-  const double inside = rate.rate * 5 + rate.burst;
-  return inside * (1 + kTolerance.share) + kTolerance.operations;
+  const double nominal = rate.rate * 5 + rate.burst;
+  return nominal * (1 + kTolerance.share) + kTolerance.operations;
 }
 
 common::HostId Host(std::size_t index) {
@@ -53,15 +53,15 @@
       limiter.SetFleet(size, size);
       limiter.SetRates({{kWorkspace, rate}}, kStart);
     }
-    this->limiters.front().SetKeeper(kWorkspace, true, kStart);
+    this->limiters.front().SetOwned(kWorkspace, true, kStart);
   }
 
   bool Admit(std::size_t index, bool cut_off, common::SteadyTime now) {
     WorkspaceLimiter& own = this->limiters[index];
-    if (cut_off) return !own.AdmitAlone(kWorkspace, now).has_value();
+    if (cut_off) return !own.AdmitLocally(kWorkspace, now).has_value();
     const bool admitted =
         !this->limiters.front().Admit(kWorkspace, Host(index), now).has_value();
-    own.OnKeeperAnswered(kWorkspace, admitted, now);
+    own.OnOwnerReplied(kWorkspace, admitted, now);
     return admitted;
   }
 
@@ -71,26 +71,26 @@
 
 // Guards against a fleet that admits more in some window than the contract
 // allows, also while a quarter of it is cut off from the keeper.
-RC_GTEST_PROP(WorkspaceLimiterPropertyTest, FloodAndCut_AnyWindow_StaysInside,
-              ()) {
+RC_GTEST_PROP(WorkspaceLimiterPropertyTest,
+              OverloadAndPartition_AnyWindow_StaysWithinTheTolerance, ()) {
   const auto size = *rc::gen::inRange<std::size_t>(4, 13);
   const double limit = *rc::gen::inRange(5, 200);
   const WorkspaceRate rate{limit, limit};
   LimiterFleet fleet(size, rate);
   const std::size_t cut_count = *rc::gen::inRange<std::size_t>(0, size / 4 + 1);
   const int cut_at = *rc::gen::inRange(1000, 9000);
-  const int cut_for = *rc::gen::inRange(500, 12000);
+  const int cut_duration = *rc::gen::inRange(500, 12000);
   const auto weights =
       *rc::gen::container<std::vector<int>>(size, rc::gen::inRange(1, 10));
   WindowCount window;
   int turn = 0;
   for (int ms = 0; ms < 20000; ms += 5) {
     const common::SteadyTime now = kStart + milliseconds(ms);
-    const bool cut = ms >= cut_at && ms < cut_at + cut_for;
+    const bool cut = ms >= cut_at && ms < cut_at + cut_duration;
     for (std::size_t index = 0; index < size; ++index) {
       if (++turn % 10 >= weights[index]) continue;
-      const bool alone = cut && index >= 1 && index <= cut_count;
-      if (fleet.Admit(index, alone, now)) window.Add(now);
+      const bool partitioned = cut && index >= 1 && index <= cut_count;
+      if (fleet.Admit(index, partitioned, now)) window.Add(now);
     }
     RC_ASSERT(window.Count(now) <= AllowedInWindow(rate));
   }
@@ -100,7 +100,7 @@
 
 // Guards against refusals of a workspace that stays inside its rate, however
 // its operations are spread over many daemons.
-TEST_F(WorkspaceLimiterTest, DemandOverManyDaemons_InsideTheRate_NoneRefused) {
+TEST_F(WorkspaceLimiterTest, LoadOverManyDaemons_WithinTheRate_NoneRefused) {
   LimiterFleet fleet(60, {25, 25});
   int refused = 0;
   int operation = 0;
@@ -113,12 +113,12 @@
 
 // Guards against daemons that refuse their clients as soon as they are cut off
 // from the keeper, although the rate has room.
-TEST_F(WorkspaceLimiterTest, CutOff_SteadyDemand_IsServedOneWindowLong) {
+TEST_F(WorkspaceLimiterTest, CutOff_SteadyLoad_IsAdmittedForOneWindow) {
   LimiterFleet fleet(8, {80, 80});
   int refused = 0;
   for (int ms = 0; ms < 8000; ms += 200) {
-    const bool alone = ms >= 4000;
-    if (!fleet.Admit(3, alone, kStart + milliseconds(ms))) ++refused;
+    const bool partitioned = ms >= 4000;
+    if (!fleet.Admit(3, partitioned, kStart + milliseconds(ms))) ++refused;
   }
   // Five operations a second for four seconds, and the mean lags a little.
   EXPECT_LE(refused, 2);
@@ -126,7 +126,7 @@
 
 // Guards against a daemon that goes on at its former rate for good while the
 // keeper gives that rate to others.
-TEST_F(WorkspaceLimiterTest, CutOffForLong_Flood_IsHeldToASmallPart) {
+TEST_F(WorkspaceLimiterTest, CutOffForLong_Overload_IsLimitedToASmallFraction) {
   LimiterFleet fleet(8, {80, 80});
   for (int ms = 0; ms < 4000; ms += 20) {
     fleet.Admit(3, false, kStart + milliseconds(ms));
@@ -140,7 +140,7 @@
 
 // Guards against a new keeper that gives out a whole burst beside the one that
 // the former keeper gave out.
-TEST_F(WorkspaceLimiterTest, KeeperChanges_Flood_StaysInsideTheWindow) {
+TEST_F(WorkspaceLimiterTest, OwnerChanges_Overload_StaysWithinTheWindow) {
   const WorkspaceRate rate{60, 60};
   WorkspaceLimiter former;
   WorkspaceLimiter next;
@@ -149,13 +149,13 @@
     limiter->SetFleet(8, 8);
     limiter->SetRates({{kWorkspace, rate}}, kStart);
   }
-  former.SetKeeper(kWorkspace, true, kStart);
+  former.SetOwned(kWorkspace, true, kStart);
   WindowCount window;
   for (int ms = 5000; ms < 15000; ms += 2) {
     const common::SteadyTime now = kStart + milliseconds(ms);
-    if (ms == 8000) next.SetKeeper(kWorkspace, true, now);
-    WorkspaceLimiter& keeper = ms < 8000 ? former : next;
-    if (!keeper.Admit(kWorkspace, Host(1), now).has_value()) window.Add(now);
+    if (ms == 8000) next.SetOwned(kWorkspace, true, now);
+    WorkspaceLimiter& owner = ms < 8000 ? former : next;
+    if (!owner.Admit(kWorkspace, Host(1), now).has_value()) window.Add(now);
     ASSERT_LE(window.Count(now), AllowedInWindow(rate));
   }
 }
@@ -163,7 +163,7 @@
 // Guards against daemons that are restarted together and each keep the rate
 // until they hear of the others.
 TEST_F(WorkspaceLimiterTest,
-       AllRestarted_EachKeepsAtFirst_StaysInsideTheWindow) {
+       AllRestarted_EachOwnsAtFirst_StaysWithinTheWindow) {
   const WorkspaceRate rate{100, 100};
   constexpr std::size_t kFleet = 8;
   const auto restarted = [&](common::SteadyTime now) {
@@ -172,7 +172,7 @@
       limiter.SetTolerance(kTolerance);
       limiter.SetFleet(kFleet, 1);
       limiter.SetRates({{kWorkspace, rate}}, now);
-      limiter.SetKeeper(kWorkspace, true, now);
+      limiter.SetOwned(kWorkspace, true, now);
     }
     return fleet;
   };
@@ -183,8 +183,8 @@
     const common::SteadyTime now = kStart + milliseconds(ms);
     if (ms == 11000) fleet = restarted(now);
     if (ms == 12500) fleet.front().SetFleet(kFleet, kFleet);
-    const bool apart = ms >= 11000 && ms < 12500;
-    for (std::size_t index = 0; index < (apart ? kFleet : 1); ++index) {
+    const bool isolated = ms >= 11000 && ms < 12500;
+    for (std::size_t index = 0; index < (isolated ? kFleet : 1); ++index) {
       const auto wait = fleet[index].Admit(kWorkspace, Host(index), now);
       if (!wait.has_value()) window.Add(now);
     }
@@ -194,7 +194,7 @@
 
 // Guards against daemons that are restarted together and admit before they know
 // of each other.
-TEST_F(WorkspaceLimiterTest, JustStarted_Flood_GetsASmallPart) {
+TEST_F(WorkspaceLimiterTest, JustStarted_Overload_GetsASmallFraction) {
   WorkspaceLimiter limiter;
   limiter.SetTolerance(kTolerance);
   limiter.SetFleet(8, 8);
@@ -202,7 +202,7 @@
   int admitted = 0;
   for (int ms = 0; ms < 1000; ms += 1) {
     const common::SteadyTime now = kStart + milliseconds(ms);
-    if (!limiter.AdmitAlone(kWorkspace, now).has_value()) ++admitted;
+    if (!limiter.AdmitLocally(kWorkspace, now).has_value()) ++admitted;
   }
   EXPECT_LE(admitted, 160 / 8 / 4 + 1);
 }
@@ -210,10 +210,10 @@
 // Guards against limiting a workspace for which no rate is declared.
 TEST_F(WorkspaceLimiterTest, UnknownWorkspace_Admit_AdmitsAll) {
   WorkspaceLimiter limiter;
-  EXPECT_FALSE(limiter.Limits(kWorkspace));
+  EXPECT_FALSE(limiter.HasLimit(kWorkspace));
   for (int count = 0; count < 100; ++count) {
     EXPECT_FALSE(limiter.Admit(kWorkspace, Host(1), kStart).has_value());
-    EXPECT_FALSE(limiter.AdmitAlone(kWorkspace, kStart).has_value());
+    EXPECT_FALSE(limiter.AdmitLocally(kWorkspace, kStart).has_value());
   }
 }
 
