--- /dev/null
+++ b/Source/Core/Session/directory_watcher.h
@@ -0,0 +1,110 @@
+#ifndef CAMPHORFERRY_SESSION_DIRECTORY_WATCHER_H_
+#define CAMPHORFERRY_SESSION_DIRECTORY_WATCHER_H_
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+
+#include "Connection/connection.h"
+#include "Session/directory.h"
+#include "Session/proxy_metrics.h"
+
+namespace camphorferry::session {
+
+/// What a watcher follows and how.
+struct DirectoryWatcherSettings {
+  DirectoryKind kind = DirectoryKind::kMembers;
+  /// Removals are reported after this time, unless the object returns before.
+  common::Duration removal_grace = common::Duration::zero();
+  /// Length of one watch call. A connection or a store that has lost the call
+  /// without a trace is noticed after this time.
+  common::Duration watch_length = std::chrono::seconds(6);
+};
+
+/// Follows all objects of one kind in the platform's store. Lists them once,
+/// then watches for changes, and lists again only if the store no longer has
+/// the history. While the store does not answer, the last known state stays in
+/// use and can be updated from other daemons that the store still answers.
+class DirectoryWatcher {
+ public:
+  /// Called with all existing objects after a change.
+  using Observer =
+      std::function<void(const std::map<std::string, DirectoryValue>&)>;
+
+  DirectoryWatcher(connection::EventLoop* loop, Platform* platform,
+                   ProxyMetrics* metrics,
+                   const DirectoryWatcherSettings& settings, Observer observer);
+  ~DirectoryWatcher();
+  DirectoryWatcher(const DirectoryWatcher&) = delete;
+  DirectoryWatcher& operator=(const DirectoryWatcher&) = delete;
+
+  /// Sets the length of watches that start later.
+  void SetWatchLength(common::Duration length) {
+    this->settings.watch_length = length;
+  }
+
+  /// Starts to follow the store. Must be called once.
+  void Start();
+
+  /// Another daemon knows a newer state.
+  void OnPeerAhead(common::SteadyTime now);
+
+  /// Whether this watcher has been behind for so long that other daemons should
+  /// be asked for their state.
+  bool NeedsPeers(common::SteadyTime now) const;
+
+  /// The revision up to which changes are known; 0 before the first listing.
+  std::uint64_t Revision() const { return this->revision.value_or(0); }
+
+  /// The state known here, for a daemon that knows the state at the given
+  /// revision. Documents that have not changed since then are left out.
+  SharedDirectory ObjectsSince(std::uint64_t known) const;
+
+  /// Takes over another daemon's state. Returns false if it is not newer.
+  bool MergeFromPeer(const SharedDirectory& shared);
+
+ private:
+  struct Entry {
+    DirectoryValue value;
+    std::string document;
+    std::uint64_t revision = 0;
+    std::optional<common::SteadyTime> removed_at;
+  };
+
+  void List();
+  void Watch();
+  void OnListed(const DirectoryResult& result);
+  void OnWatched(const DirectoryResult& result);
+  void CountAnswer(const DirectoryResult& result);
+  void OnUnavailable(const StoreUnavailable& failure);
+  void OnAvailable();
+  void Apply(const DirectoryChange& change);
+  /// Marks the entries that are missing in a complete listing as removed.
+  void MarkAbsentRemoved(const std::set<std::string>& present);
+  void AdvanceRevision(std::uint64_t reached);
+  void ExpireRemoved();
+  void NotifyObserver();
+
+  connection::EventLoop* loop;
+  Platform* platform;
+  ProxyMetrics* metrics;
+  DirectoryWatcherSettings settings;
+  Observer observer;
+  std::map<std::string, Entry> entries;
+  std::optional<std::uint64_t> revision;
+  /// Since when the store has not answered, and since when another daemon has
+  /// been known to be ahead.
+  std::optional<common::SteadyTime> unavailable_since;
+  std::optional<common::SteadyTime> behind_since;
+  common::Duration backoff = common::Duration::zero();
+  std::unique_ptr<connection::Timer> timer;
+  std::unique_ptr<connection::Timer> expiry_timer;
+  std::shared_ptr<bool> alive = std::make_shared<bool>(true);
+};
+
+}  // namespace camphorferry::session
+
+#endif  // CAMPHORFERRY_SESSION_DIRECTORY_WATCHER_H_
--- a/Source/Core/Session/endpoint_channel.cc
+++ b/Source/Core/Session/endpoint_channel.cc
@@ -59,7 +59,8 @@
   this->stream->Send(command);
 }
 
-void EndpointChannel::Redirect(std::function<void(ChannelResult)> receiver) {
+void EndpointChannel::RedirectAnswer(
+    std::function<void(ChannelResult)> receiver) {
   if (this->pending) this->pending = std::move(receiver);
 }
 
@@ -67,12 +68,13 @@
   this->ready = false;
   if (this->stream == nullptr) return;
   this->stream->Close();
-  // A stream may be closing itself inside one of its own callbacks.
+  // This may have been called from a callback of the stream, so the stream is
+  // destroyed later.
   this->loop->Post([keep = std::move(this->stream)] {});
   this->stream.reset();
 }
 
-void EndpointChannel::OnIdleClose(std::function<void()> closed) {
+void EndpointChannel::SetIdleCloseHandler(std::function<void()> closed) {
   this->idle_close = std::move(closed);
 }
 
@@ -80,7 +82,7 @@
   const auto keep = this->shared_from_this();
   EndpointMessage message = this->codec->DecodeEndpoint(line);
   if (!this->pending || std::holds_alternative<EndpointUnreadable>(message)) {
-    // An answer that nobody waits for could be taken for the next one.
+    // An unexpected answer could be taken as the answer to the next command.
     this->OnClosed();
     return;
   }
@@ -93,7 +95,7 @@
                  },
                  [this](EndpointError& error) {
                    this->answer.error = std::move(error);
-                   // A refused introduction has no further message.
+                   // A refused start message is followed by no further message.
                    if (!this->ready) this->Finish(std::move(this->answer));
                  },
                  [this](const EndpointReady& ready_message) {
--- /dev/null
+++ b/Source/Core/Session/fleet_membership.cc
@@ -0,0 +1,160 @@
+#include "Session/fleet_membership.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "Common/common.h"
+
+namespace camphorferry::session {
+
+namespace {
+
+/// Interval of exchanges within a region, so that the loss of a daemon is
+/// noticed well within a rate window (5 s).
+constexpr std::chrono::milliseconds kNearInterval(500);
+/// Interval of exchanges between regions, where traffic is expensive.
+constexpr std::chrono::milliseconds kFarInterval(1000);
+/// Largest number of peers with which a daemon exchanges reports in every
+/// interval.
+constexpr std::size_t kSmallFleet = 8;
+/// Number of peers per interval in a larger fleet. Each peer's turn comes less
+/// often there, so that the cost per daemon does not grow with the fleet.
+constexpr std::size_t kPeersPerInterval = 4;
+/// Interval of exchanges with a silent daemon.
+constexpr std::chrono::milliseconds kSilentInterval(2000);
+/// Unanswered calls in a row after which a daemon counts as silent.
+constexpr int kMissesBeforeSilent = 2;
+/// Maximum number of rate owners. Each serves the other daemons' calls at a
+/// cost that grows with the fleet's operations, and the loss of one affects
+/// only the workspaces that it owns.
+constexpr std::size_t kMaxRateOwners = 12;
+/// Key of the rendezvous hash by which the rate owners are chosen.
+constexpr const char* kRateOwnersKey = "rate-keepers";
+/// A daemon that has not replied for this long is removed. The directory or its
+/// own report may add it again.
+constexpr std::chrono::seconds kLostAfter(12);
+/// The same as a number of exchange intervals, for fleets in which the interval
+/// is long.
+constexpr int kTurnsUntilLost = 2;
+
+}  // namespace
+
+FleetMembership::FleetMembership(HostPlace own) : own(std::move(own)) {}
+
+void FleetMembership::Add(const FleetHost& host, common::SteadyTime now) {
+  if (host.id == this->own.host || host.id.Empty()) return;
+  const auto [place, is_new] = this->peers.try_emplace(host.id);
+  Peer& peer = place->second;
+  if (is_new || peer.host.peer_address != host.peer_address) {
+    peer.last_reply = now;
+    peer.due = now;
+    peer.misses = 0;
+    peer.has_replied = false;
+    this->owners.clear();
+  }
+  peer.host = host;
+}
+
+void FleetMembership::OnReply(const common::HostId& host,
+                              common::SteadyTime now) {
+  const auto found = this->peers.find(host);
+  if (found == this->peers.end()) return;
+  if (IsSilent(found->second)) this->owners.clear();
+  found->second.last_reply = now;
+  found->second.misses = 0;
+  found->second.has_replied = true;
+}
+
+std::size_t FleetMembership::ResponsiveCount() const {
+  const auto count = std::count_if(
+      this->peers.begin(), this->peers.end(), [](const auto& item) {
+        return item.second.has_replied && !IsSilent(item.second);
+      });
+  return static_cast<std::size_t>(count) + 1;
+}
+
+bool FleetMembership::OnNoReply(const common::HostId& host) {
+  const auto found = this->peers.find(host);
+  if (found == this->peers.end()) return false;
+  const bool was_silent = IsSilent(found->second);
+  ++found->second.misses;
+  if (was_silent || !IsSilent(found->second)) return false;
+  this->owners.clear();
+  return true;
+}
+
+bool FleetMembership::IsSilent(const Peer& peer) {
+  return peer.misses >= kMissesBeforeSilent;
+}
+
+const std::vector<common::HostId>& FleetMembership::RateOwners() {
+  if (!this->owners.empty()) return this->owners;
+  std::vector<common::HostId> hosts = {this->own.host};
+  for (const auto& [id, peer] : this->peers) {
+    if (!IsSilent(peer)) hosts.push_back(id);
+  }
+  this->owners = common::RendezvousOrder(kRateOwnersKey, std::move(hosts));
+  if (this->owners.size() > kMaxRateOwners) this->owners.resize(kMaxRateOwners);
+  return this->owners;
+}
+
+std::optional<FleetHost> FleetMembership::RateOwnerOf(
+    const common::WorkspaceId& workspace) {
+  const auto rate_owner =
+      common::RendezvousFirst(workspace.Value(), this->RateOwners());
+  const auto found = this->peers.find(*rate_owner);
+  if (found == this->peers.end()) return std::nullopt;
+  return found->second.host;
+}
+
+common::Duration FleetMembership::IntervalOf(const Peer& peer) const {
+  if (IsSilent(peer)) return kSilentInterval;
+  const std::size_t rounds =
+      this->peers.size() <= kSmallFleet
+          ? 1
+          : (this->peers.size() + kPeersPerInterval - 1) / kPeersPerInterval;
+  return (this->own.InSameRegion(peer.host.domain) ? kNearInterval
+                                                   : kFarInterval) *
+         rounds;
+}
+
+std::vector<FleetHost> FleetMembership::TakeDuePeers(common::SteadyTime now) {
+  std::vector<FleetHost> due;
+  for (auto& [id, peer] : this->peers) {
+    if (peer.due > now) continue;
+    peer.due = now + this->IntervalOf(peer);
+    due.push_back(peer.host);
+  }
+  return due;
+}
+
+std::optional<FleetHost> FleetMembership::NextResponsive() {
+  auto next = this->peers.upper_bound(this->last_returned);
+  for (std::size_t tried = 0; tried < this->peers.size(); ++tried) {
+    if (next == this->peers.end()) next = this->peers.begin();
+    if (next->second.has_replied && !IsSilent(next->second)) {
+      this->last_returned = next->first;
+      return next->second.host;
+    }
+    ++next;
+  }
+  return std::nullopt;
+}
+
+std::vector<FleetHost> FleetMembership::RemoveLost(common::SteadyTime now) {
+  std::vector<FleetHost> lost;
+  for (auto it = this->peers.begin(); it != this->peers.end();) {
+    const common::Duration limit = std::max<common::Duration>(
+        kLostAfter, this->IntervalOf(it->second) * kTurnsUntilLost);
+    if (now - it->second.last_reply < limit) {
+      ++it;
+      continue;
+    }
+    lost.push_back(it->second.host);
+    this->owners.clear();
+    it = this->peers.erase(it);
+  }
+  return lost;
+}
+
+}  // namespace camphorferry::session
--- a/Source/Core/Session/service_group.h
+++ b/Source/Core/Session/service_group.h
@@ -14,16 +14,17 @@
 #include "Session/endpoint_pool.h"
 #include "Session/failure_estimate.h"
 #include "Session/group_context.h"
-#include "Session/leadership_ledger.h"
+#include "Session/hedge_budget.h"
+#include "Session/leadership_proofs.h"
 #include "Session/primary_monitor.h"
 #include "Session/primary_view.h"
 #include "Session/promotion_task.h"
-#include "Session/repetition_budget.h"
 
 namespace camphorferry::session {
 
-/// One database group as this daemon sees it: its members with their channels,
-/// who leads, proofs of leadership, and the replacement of its primary.
+/// One replicated database group as this daemon sees it: its members and the
+/// channels to them, the current primary, proofs of leadership, and the
+/// replacement of a failed primary.
 class ServiceGroup {
  public:
   ServiceGroup(GroupContext context, common::ServiceId service);
@@ -31,67 +32,75 @@
   ServiceGroup(const ServiceGroup&) = delete;
   ServiceGroup& operator=(const ServiceGroup&) = delete;
 
-  /// Takes the present members of the group.
+  /// Sets the current members of the group.
   void SetMembers(const std::vector<GroupMember>& present);
 
-  /// Sets how many channels to each member this daemon may have.
+  /// Sets the limits of this daemon's channels to each member.
   void SetChannelLimits(const ChannelLimits& limits);
 
-  /// To be called every kGroupTick.
+  /// Must be called every kGroupTickInterval.
   void Tick(common::SteadyTime now);
 
-  /// The member that is believed to lead and takes statements.
+  /// The member that is assumed to be the primary; none if none is known.
   std::optional<common::EndpointId> Primary() const;
 
-  /// The member that probably serves a read soonest, without those named; none
-  /// if no other member takes work.
+  /// The member that is expected to answer a read soonest, apart from those
+  /// named; none if no other member takes work.
   std::optional<common::EndpointId> ChooseReader(
       const std::string& caller,
       const std::set<common::EndpointId>& without) const;
 
-  /// Channels to a member; null if it is gone.
+  /// Connection pool of a member; null if the member is gone.
   EndpointPool* PoolOf(const common::EndpointId& id);
 
-  /// The lowest position that a read must see to miss nothing that was
-  /// acknowledged before the given time.
-  std::optional<common::LogPosition> PositionAt(common::SteadyTime time) const;
+  /// The lowest log position that a read has to see in order to include
+  /// everything that was acknowledged before the given time; none if no proof
+  /// is that recent.
+  std::optional<common::LogPosition> RequiredPosition(
+      common::SteadyTime time) const;
 
-  /// Calls back with true once a proof of leadership at or after the given
-  /// time is there, or with false when the wait is over.
+  /// Calls back with true as soon as there is a proof of leadership at or after
+  /// the given time, or with false after the wait.
   void AwaitProof(common::SteadyTime not_before, common::Duration wait,
                   std::function<void(bool proved)> done);
 
-  /// Starts a round of proof unless the latest proof is younger than the given
-  /// time.
+  /// Starts a proof round unless there is a proof at or after the given time.
   void RefreshProof(common::SteadyTime not_before);
 
-  /// The latest proof, for other daemons; none if there is no young one.
+  /// A proof of leadership and its age.
   struct AgedProof {
     common::LogPosition position;
     common::Duration age;
   };
+  /// The latest proof, to be sent to other daemons; none if there is no proof
+  /// younger than 2 s.
   std::optional<AgedProof> LatestProof(common::SteadyTime now) const;
 
-  /// Takes a proof that another daemon has made.
-  void AdoptProof(common::SteadyTime as_of, common::LogPosition position);
-
-  /// What statements have met.
-  void OnReached(const common::EndpointId& id);
-  void OnUnreached(const common::EndpointId& id);
-  /// A statement was answered as asked, or had no such answer in its time.
-  void OnServed(const common::EndpointId& id);
-  void OnFailed(const common::EndpointId& id);
+  /// Adds a proof that another daemon has made.
+  void AddProof(common::SteadyTime as_of, common::LogPosition position);
+
+  /// The member has answered a connection or a command.
+  void OnResponsive(const common::EndpointId& id);
+  /// The member could not be reached, or a connection or a command had no
+  /// answer.
+  void OnUnresponsive(const common::EndpointId& id);
+  /// A statement was answered with success.
+  void OnStatementSucceeded(const common::EndpointId& id);
+  /// A statement failed or was not answered in time.
+  void OnStatementFailed(const common::EndpointId& id);
+  /// The member has refused a statement because it is not the primary.
   void OnNotPrimary(const common::EndpointId& id);
-  void OnCommitDone(const common::EndpointId& id);
+  /// The member has acknowledged a commit or a single write.
+  void OnCommitSuccess(const common::EndpointId& id);
+  /// A commit or a single write at the member ended without an answer.
   void OnCommitUnanswered(const common::EndpointId& id);
 
-  /// Counts a read that was sent to a first member.
-  void OnReadSent() { this->repetitions.OnRead(); }
+  /// Counts a read that was sent to its first member.
+  void OnReadSent() { this->hedge_budget.OnRead(); }
 
-  /// Whether a read that waits for an answer of one member may be sent to
-  /// another one too; it is counted.
-  bool TakeRepetition(const std::string& caller,
-                      const common::EndpointId& waits_for);
+  /// Whether a read that waits for one member's answer may also be sent to
+  /// another member. If so, it is counted against the hedge budget.
+  bool TryHedge(const std::string& caller, const common::EndpointId& waits_for);
 
   const common::ServiceId& Service() const { return this->service; }
 
@@ -99,7 +108,7 @@
   struct Member {
     GroupMember entry;
     std::shared_ptr<EndpointPool> pool;
-    /// Reads avoid the member until then.
+    /// Until then, reads prefer other members.
     common::SteadyTime avoid_until;
     FailureEstimate failures;
   };
@@ -122,24 +131,24 @@
   using StatusCallback = std::function<void(std::optional<EndpointStatus>)>;
 
   /// A command to a member that waits for a channel or for its answer.
-  struct Question {
+  struct PendingCommand {
     common::EndpointId endpoint;
     std::string command;
     common::Duration timeout;
     StatusCallback done;
-    DemandId demand = 0;
+    ChannelRequestId request_id = 0;
     std::shared_ptr<EndpointChannel> channel;
-    /// Ends the wait for a channel.
+    /// Limits the wait for a channel.
     std::unique_ptr<connection::Timer> timer;
   };
 
-  void Ask(const common::EndpointId& id, const std::string& command,
-           common::Duration timeout, StatusCallback done);
-  void OnNoChannel(std::uint64_t number);
-  void OnQuestionGrant(std::uint64_t number, const ChannelGrant& grant);
-  void OnReply(std::uint64_t number, const ChannelResult& result);
-  void EndQuestion(std::uint64_t number,
-                   const std::optional<EndpointStatus>& status);
+  void SendCommand(const common::EndpointId& id, const std::string& command,
+                   common::Duration timeout, StatusCallback done);
+  void OnChannelTimeout(std::uint64_t number);
+  void OnCommandChannel(std::uint64_t number, const ChannelGrant& grant);
+  void OnCommandResult(std::uint64_t number, const ChannelResult& result);
+  void EndCommand(std::uint64_t number,
+                  const std::optional<EndpointStatus>& status);
   std::vector<GroupMember> Entries() const;
   void UpdatePrimary();
   /// Tells the monitor whether the primary is about to shut down.
@@ -149,10 +158,10 @@
   void OnRoundAnswer(std::uint64_t number, bool from_primary,
                      const std::optional<EndpointStatus>& status);
   void EndRound(bool proved);
-  std::optional<common::EndpointId> ChooseWitness() const;
-  common::Duration DistanceTo(const GroupMember& member) const;
+  std::optional<common::EndpointId> ChooseProofReplica() const;
+  common::Duration RoundTripTo(const GroupMember& member) const;
 
-  /// Asks a member for its status, for what Ask itself records of the answer.
+  /// Asks a member for its status. The answer is only used by OnStatus.
   void Probe(const common::EndpointId& id);
   void RunMonitor(common::SteadyTime now);
   bool MustReplace(common::SteadyTime now) const;
@@ -161,32 +170,34 @@
   common::ServiceId service;
   std::map<common::EndpointId, Member> members;
   ChannelLimits channel_limits;
-  RepetitionBudget repetitions;
+  HedgeBudget hedge_budget;
 
   PrimaryView view;
   std::optional<common::EndpointId> primary;
-  LeadershipLedger ledger;
+  LeadershipProofs leadership_proofs;
   PrimaryMonitor monitor;
 
   std::optional<Round> round;
   std::uint64_t next_round = 1;
-  /// Pause after the next round without a proof, and end of the present one.
-  common::Duration round_pause;
+  /// Pause after the next round without a proof, and earliest start of the next
+  /// round.
+  common::Duration round_backoff;
   common::SteadyTime round_not_before;
-  /// Replica that gave no answer, or could not confirm, in the latest round.
-  std::optional<common::EndpointId> unfit_witness;
+  /// Replica that did not answer, or could not confirm the primary, in the
+  /// latest round.
+  std::optional<common::EndpointId> unfit_replica;
   std::list<ProofWaiter> waiters;
-  std::map<std::uint64_t, Question> questions;
-  std::uint64_t next_question = 1;
+  std::map<std::uint64_t, PendingCommand> commands;
+  std::uint64_t next_command = 1;
 
   std::unique_ptr<PromotionTask> promotion;
   common::SteadyTime next_probe;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
-/// Interval between two calls of ServiceGroup::Tick; a fifth of the shortest
+/// Interval between two calls of ServiceGroup::Tick: a fifth of the shortest
 /// time that a decision of the group waits for.
-inline constexpr std::chrono::milliseconds kGroupTick(100);
+inline constexpr std::chrono::milliseconds kGroupTickInterval(100);
 
 }  // namespace camphorferry::session
 
--- a/Source/Core/Session/session.h
+++ b/Source/Core/Session/session.h
@@ -1,23 +1,24 @@
 #ifndef CAMPHORFERRY_SESSION_SESSION_H_
 #define CAMPHORFERRY_SESSION_SESSION_H_
 
-/// Public header of the Session library: sessions as connections with values,
-/// prepared statements and transactions, the database groups behind them, and
-/// the proxy process.
+/// Public header of the Session library: client sessions with values, prepared
+/// statements and transactions, the database groups behind them, and the proxy
+/// process.
 
-#include "Session/channel_memory.h"
+#include "Session/channel_state.h"
 #include "Session/client_session.h"
 #include "Session/directory.h"
-#include "Session/directory_feed.h"
+#include "Session/directory_watcher.h"
 #include "Session/duty_keeper.h"
 #include "Session/endpoint_channel.h"
 #include "Session/endpoint_pool.h"
 #include "Session/failure_estimate.h"
-#include "Session/fleet_roster.h"
+#include "Session/fleet_membership.h"
 #include "Session/fleet_task.h"
 #include "Session/fleet_transport.h"
 #include "Session/group_context.h"
-#include "Session/leadership_ledger.h"
+#include "Session/hedge_budget.h"
+#include "Session/leadership_proofs.h"
 #include "Session/message_stream.h"
 #include "Session/primary_monitor.h"
 #include "Session/primary_view.h"
@@ -25,7 +26,6 @@
 #include "Session/promotion_task.h"
 #include "Session/proxy.h"
 #include "Session/proxy_metrics.h"
-#include "Session/repetition_budget.h"
 #include "Session/service_group.h"
 #include "Session/session_state.h"
 #include "Session/statement.h"
