--- a/Source/Core/Connection/connection.h
+++ b/Source/Core/Connection/connection.h
@@ -1,7 +1,9 @@
 #ifndef CAMPHORFERRY_CONNECTION_CONNECTION_H_
 #define CAMPHORFERRY_CONNECTION_CONNECTION_H_
 
-/// Public header of the Connection library: what lives for a connection.
+/// Public header of the Connection library: event loop, HTTP client and server,
+/// connections to endpoints and their failure detection, and the client of the
+/// platform's object store.
 
 #include "Connection/endpoint_link.h"
 #include "Connection/event_loop.h"
--- a/Source/Core/Connection/endpoint_link.h
+++ b/Source/Core/Connection/endpoint_link.h
@@ -11,50 +11,51 @@
 
 namespace camphorferry::connection {
 
-/// One statement for one endpoint, on its way from the daemon that received it
-/// to the endpoint. It never holds the client's key.
+/// One statement for one endpoint, as the daemon that received it sends it to
+/// the endpoint, directly or through another daemon. It never holds the
+/// client's API key.
 struct StatementCall {
   std::string request_id;
   common::WorkspaceId workspace;
   std::uint32_t weight = 1;
   common::ServiceId service;
   common::EndpointId endpoint;
-  /// JSON array of operations that was already checked.
+  /// JSON array of operations; already validated.
   std::string operations;
   bool is_write = false;
-  /// Term under which a write may run.
+  /// Replication term under which a write may run; unused for reads.
   common::Term term = 0;
-  /// Empty if the request brought no idempotency key.
+  /// Empty if the request has no idempotency key.
   std::string idempotency_key;
   std::string idempotency_digest;
-  /// A read is refused as lagging until this position is applied.
+  /// A replica that has not applied this position refuses a read as lagging.
   common::LogPosition min_position;
-  /// How long a read may wait for the position.
+  /// How long a read may wait until the position is applied.
   common::Duration wait = common::Duration::zero();
-  /// Largest age of the data that a read accepts.
+  /// Maximum staleness that a read accepts.
   std::optional<common::Duration> max_age;
   common::SteadyTime deadline;
 };
 
-/// A service's primary as somebody knows it; it may be outdated.
+/// The last known primary of a service; it may be outdated.
 struct PrimaryHint {
   /// Empty if no primary is known.
   common::EndpointId endpoint;
   common::Term term = 0;
 };
 
-/// What came of a statement call.
+/// Outcome of a statement call.
 struct StatementReply {
   request::Outcome outcome;
-  /// Term that the endpoint reported; zero if it gave no answer.
+  /// Term that the endpoint reported; 0 if it did not reply.
   common::Term term = 0;
-  /// Added by the owner of the endpoint's connections.
+  /// Set by the daemon that owns the endpoint's connections.
   PrimaryHint primary{};
 };
 
-/// Whether a replica holds an entry.
+/// Whether a replica has stored a log entry.
 struct ConfirmReply {
-  /// False if the replica gave no answer.
+  /// False if the replica did not reply.
   bool answered = false;
   bool held = false;
   common::Term fence = 0;
@@ -62,7 +63,7 @@
   common::LogPosition position;
 };
 
-/// State that a database reports.
+/// Replication state that a database reports.
 struct EndpointStatus {
   common::Term term = 0;
   common::Term fence = 0;
@@ -70,7 +71,7 @@
   common::LogPosition position;
 };
 
-/// Answer to a fence call.
+/// Reply to a fence call.
 struct FenceReply {
   bool granted = false;
   common::Term fence = 0;
@@ -78,7 +79,8 @@
   common::LogPosition position;
 };
 
-/// How a control call failed.
+/// Why a control call has no result: no connection could be made, or no valid
+/// reply arrived.
 enum class ControlFailure { kRefused, kTimedOut };
 
 template <typename Answer>
@@ -89,40 +91,47 @@
   bool accepted = false;
 };
 
-/// Port to one database over one connection. A link carries one call at a
-/// time; callbacks are called once, from the event loop.
+/// Interface to one database over one connection. A link carries one call at a
+/// time; each callback is called once, from the event loop.
 class EndpointLink {
  public:
   virtual ~EndpointLink() = default;
 
-  /// Runs a statement. The outcome says not run only if the endpoint said so
-  /// or no connection could be made.
+  /// Runs a statement. The outcome is NotRun only if the endpoint reports so or
+  /// no connection could be made.
   virtual void Execute(const StatementCall& call, common::Duration timeout,
                        std::function<void(StatementReply)> done) = 0;
 
-  /// Asks whether the database holds an entry, waiting up to the given time.
+  /// Asks whether the database has stored the log entry at the position. The
+  /// database waits up to the given time for the entry to arrive.
   virtual void Confirm(common::LogPosition position, common::Duration wait,
                        common::Duration timeout,
                        std::function<void(ConfirmReply)> done) = 0;
 
+  /// Reads the database's replication state.
   virtual void Status(
       common::Duration timeout,
       std::function<void(ControlResult<EndpointStatus>)> done) = 0;
 
+  /// Fences the database at the term for the proposer: a primary of a lower
+  /// term then refuses writes. Granted if the term is higher than the present
+  /// fence, and to the same proposer again.
   virtual void Fence(common::Term term, const std::string& proposer,
                      common::Duration timeout,
                      std::function<void(ControlResult<FenceReply>)> done) = 0;
 
+  /// Asks the database to become the primary of the term.
   virtual void Promote(
       common::Term term, const std::string& proposer, common::Duration timeout,
       std::function<void(ControlResult<ControlAccepted>)> done) = 0;
 
+  /// Asks the database to replicate from the primary of the term.
   virtual void Follow(
       common::Term term, const std::string& proposer,
       const std::string& primary_address, common::Duration timeout,
       std::function<void(ControlResult<ControlAccepted>)> done) = 0;
 
-  /// True while a call has no answer yet.
+  /// True while a call is in progress.
   virtual bool Busy() const = 0;
 
   /// False once the link has failed; it must then be replaced.
--- a/Source/Core/Connection/event_loop.cc
+++ b/Source/Core/Connection/event_loop.cc
@@ -36,7 +36,8 @@
 Timer::~Timer() { event_free(this->handle); }
 
 void Timer::OnEvent(int /*fd*/, short /*what*/, void* context) {
-  // The action may destroy the timer, so it runs from a copy.
+  // The action may destroy the timer and with it the stored action, so a copy
+  // is called.
   const std::function<void()> action = static_cast<Timer*>(context)->action;
   action();
 }
@@ -46,7 +47,7 @@
 }
 
 EventLoop::~EventLoop() {
-  this->DropPending();
+  this->DiscardPending();
   for (const auto& handler : this->signal_handlers) event_free(handler->handle);
   event_free(this->wakeup);
   event_base_free(this->base);
@@ -75,9 +76,9 @@
 }
 
 void EventLoop::RunLater(common::Duration delay, std::function<void()> action) {
-  const auto place = this->delayed.emplace(this->delayed.end());
-  *place = this->After(delay, [this, place, action = std::move(action)] {
-    this->delayed.erase(place);
+  const auto position = this->delayed.emplace(this->delayed.end());
+  *position = this->After(delay, [this, position, action = std::move(action)] {
+    this->delayed.erase(position);
     action();
   });
 }
@@ -99,18 +100,19 @@
   static_cast<SignalHandler*>(context)->action();
 }
 
-void EventLoop::DropPending() {
-  // Pending actions may own connections, which libevent must free before their
-  // base. Destroying an action may queue another one.
+void EventLoop::DiscardPending() {
+  // Pending actions may own connections, which must be freed before the event
+  // base. Destroying an action may queue another one, so this repeats until
+  // both queues are empty.
   while (true) {
-    std::vector<std::function<void()>> dropped;
+    std::vector<std::function<void()>> discarded;
     {
       const std::lock_guard<std::mutex> lock(this->mutex);
-      dropped.swap(this->posted);
+      discarded.swap(this->posted);
     }
-    std::list<std::unique_ptr<Timer>> dropped_timers;
-    dropped_timers.swap(this->delayed);
-    if (dropped.empty() && dropped_timers.empty()) return;
+    std::list<std::unique_ptr<Timer>> discarded_timers;
+    discarded_timers.swap(this->delayed);
+    if (discarded.empty() && discarded_timers.empty()) return;
   }
 }
 
--- a/Source/Core/Connection/event_loop.h
+++ b/Source/Core/Connection/event_loop.h
@@ -24,14 +24,14 @@
   Timer& operator=(const Timer&) = delete;
 
  private:
-  static void OnEvent(int fd, short what, void* context);
+  static void OnEvent(int fd, short events, void* context);
 
   std::function<void()> action;
   event* handle = nullptr;
 };
 
-/// Single-threaded loop that runs the tasks of a process. Only Post and Stop
-/// may be called from other threads.
+/// Single-threaded event loop on libevent. Only Post and Stop may be called
+/// from other threads.
 class EventLoop {
  public:
   EventLoop();
@@ -39,13 +39,13 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// Runs until Stop.
+  /// Processes events until Stop is called.
   void Run();
 
-  /// Ends Run after the present round of events.
+  /// Makes Run return after the current event callback.
   void Stop();
 
-  /// Queues an action for the loop's thread.
+  /// Queues an action to run on the loop's thread.
   void Post(std::function<void()> action);
 
   /// Calls the action once after the delay.
@@ -65,10 +65,10 @@
   event_base* Base() { return this->base; }
 
  private:
-  static void OnWakeup(int fd, short what, void* context);
-  static void OnSignalEvent(int fd, short what, void* context);
+  static void OnWakeup(int fd, short events, void* context);
+  static void OnSignalEvent(int fd, short events, void* context);
   void RunPosted();
-  void DropPending();
+  void DiscardPending();
 
   struct SignalHandler {
     event* handle;
@@ -80,7 +80,7 @@
   std::mutex mutex;
   std::vector<std::function<void()>> posted;
   std::vector<std::unique_ptr<SignalHandler>> signal_handlers;
-  /// Timers of RunLater whose time has not come.
+  /// Timers of RunLater that have not fired yet.
   std::list<std::unique_ptr<Timer>> delayed;
 };
 
--- a/Source/Core/Connection/http_client.cc
+++ b/Source/Core/Connection/http_client.cc
@@ -18,26 +18,27 @@
 
 namespace {
 
-/// Keep-alive probes: a peer that is silent for three seconds ends the
-/// connection, also while a request waits for minutes at the other side.
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbeIntervalSeconds = 1;
-constexpr int kProbesUntilDead = 2;
-
-/// Has the kernel notice a peer that went away without closing. A socket that
-/// can't be set up so is still usable; its requests have time limits.
-void ProbeWhileIdle(evhttp_connection* connection) {
+/// TCP keep-alive settings: a connection to a peer that acknowledges nothing
+/// for three seconds is closed, also while a request waits for minutes at a
+/// server.
+constexpr int kKeepAliveIdleSeconds = 1;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveMaxProbes = 2;
+
+/// Makes the kernel detect a peer that disappeared without closing the
+/// connection. Errors are ignored because every request has a timeout as well.
+void EnableTcpKeepAlive(evhttp_connection* connection) {
   const int socket =
       bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
   if (socket < 0) return;
   const int on = 1;
   setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeAfterSeconds,
-             sizeof(kProbeAfterSeconds));
-  setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeIntervalSeconds,
-             sizeof(kProbeIntervalSeconds));
-  setsockopt(socket, IPPROTO_TCP, TCP_KEEPCNT, &kProbesUntilDead,
-             sizeof(kProbesUntilDead));
+  setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &kKeepAliveIdleSeconds,
+             sizeof(kKeepAliveIdleSeconds));
+  setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &kKeepAliveIntervalSeconds,
+             sizeof(kKeepAliveIntervalSeconds));
+  setsockopt(socket, IPPROTO_TCP, TCP_KEEPCNT, &kKeepAliveMaxProbes,
+             sizeof(kKeepAliveMaxProbes));
 }
 
 evhttp_cmd_type MethodType(const std::string& method) {
@@ -61,7 +62,7 @@
   return target;
 }
 
-HttpResponse ReadResponse(evhttp_request* request) {
+HttpResponse ConvertResponse(evhttp_request* request) {
   HttpResponse response;
   response.status = evhttp_request_get_response_code(request);
   const evkeyvalq* headers = evhttp_request_get_input_headers(request);
@@ -91,7 +92,8 @@
       : loop(loop), address(std::move(address)) {}
   ~State() { this->Close(); }
 
-  /// Ends the request once; called for answers, failures and time-outs.
+  /// Completes the pending request with a response, a failure or a timeout.
+  /// Does nothing if it was already completed.
   void Finish(HttpResult result) {
     if (!this->callback) return;
     const Callback finished = std::exchange(this->callback, nullptr);
@@ -99,20 +101,21 @@
     finished(std::move(result));
   }
 
-  /// Frees the libevent connection outside of libevent's own callbacks.
+  /// Frees the libevent connection. Must not be called from within a libevent
+  /// callback of this connection.
   void Close() {
     this->usable = false;
     if (this->connection == nullptr) return;
     evhttp_connection* closing = std::exchange(this->connection, nullptr);
     evhttp_connection_free(closing);
-    // Libevent frees a pending request without calling back.
+    // Libevent frees a pending request without calling its callback.
     delete std::exchange(this->context, nullptr);
   }
 
   void CloseLater() {
     this->usable = false;
-    // The close happens when the action is destroyed, because a loop that ends
-    // drops its actions without running them.
+    // The connection is closed when the posted action is destroyed, because a
+    // loop that is destroyed discards its queued actions without running them.
     const std::shared_ptr<void> closer(
         nullptr, [self = this->shared_from_this()](void*) { self->Close(); });
     this->loop->Post([closer] {});
@@ -122,7 +125,8 @@
   SocketAddress address;
   evhttp_connection* connection = nullptr;
   Callback callback;
-  /// Keeps this object alive while libevent may call back.
+  /// Owned by the pending request; keeps this object alive until libevent has
+  /// called back.
   std::shared_ptr<State>* context = nullptr;
   std::unique_ptr<Timer> timeout;
   bool usable = true;
@@ -161,12 +165,12 @@
           return;
         }
         if (evhttp_request_get_response_code(answered) == 0) {
-          // Libevent reports a failed connect by an answer without a status.
+          // Libevent reports a failed connect as a response with status 0.
           state.CloseLater();
           state.Finish(HttpFailure::kNotSent);
           return;
         }
-        HttpResponse response = ReadResponse(answered);
+        HttpResponse response = ConvertResponse(answered);
         if (response.close) state.CloseLater();
         state.Finish(std::move(response));
       },
@@ -188,9 +192,9 @@
   evhttp_make_request(this->state->connection, outgoing,
                       MethodType(request.method),
                       EncodeTarget(request).c_str());
-  // The socket exists only once a request has been made.
+  // Libevent creates the socket only when the first request is made.
   if (this->state->connection != nullptr) {
-    ProbeWhileIdle(this->state->connection);
+    EnableTcpKeepAlive(this->state->connection);
   }
 }
 
@@ -224,8 +228,8 @@
     });
     loop.Run();
   }
-  // The connection is closed by a posted action, and libevent frees it in
-  // callbacks after that. Both need the loop, which must not end before them.
+  // The connection is closed by a posted action and freed by libevent in later
+  // callbacks. The loop has to run both before it is destroyed.
   loop.Post([&loop] {
     loop.RunLater(common::Duration::zero(), [&loop] { loop.Stop(); });
   });
--- a/Source/Core/Connection/http_client.h
+++ b/Source/Core/Connection/http_client.h
@@ -10,31 +10,31 @@
 
 namespace camphorferry::connection {
 
-/// Answer to a client's request, or why there is none.
+/// Response to a client's request, or the reason why there is none.
 using HttpResult = std::variant<HttpResponse, HttpFailure>;
 
-/// One client connection that carries one request at a time. After a failure
-/// it is closed for good and must be replaced, so that a late answer can never
-/// be taken for the answer to a later request.
+/// Client connection that carries one request at a time. After a failure it is
+/// closed permanently and must be replaced, so that a late response can never
+/// be matched to a later request.
 class HttpClientConnection {
  public:
   using Callback = std::function<void(HttpResult)>;
 
   HttpClientConnection(EventLoop* loop, SocketAddress address);
-  /// Closes the connection; a pending request's callback is not called.
+  /// Closes the connection. The callback of a pending request is not called.
   ~HttpClientConnection();
   HttpClientConnection(const HttpClientConnection&) = delete;
   HttpClientConnection& operator=(const HttpClientConnection&) = delete;
 
-  /// Sends a request; the connection must be idle and usable. The callback is
-  /// called once from the event loop, never from within Send.
+  /// Sends a request. The connection must be usable and not busy. The callback
+  /// is called once from the event loop, never from within Send.
   void Send(const HttpRequest& request, common::Duration timeout,
             Callback callback);
 
-  /// True while a request has no answer yet.
+  /// True while a request is pending.
   bool Busy() const;
 
-  /// False after a failure or after the server asked to close.
+  /// False after a failure or after a response with "Connection: close".
   bool Usable() const;
 
  private:
@@ -42,13 +42,13 @@
   std::shared_ptr<State> state;
 };
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection, which is closed afterwards.
 void SendHttpOnce(EventLoop* loop, const SocketAddress& address,
                   const HttpRequest& request, common::Duration timeout,
                   HttpClientConnection::Callback callback);
 
-/// Sends one request and runs a loop of its own until the answer or failure.
-/// For command line tools.
+/// Sends one request and blocks until it is answered or has failed, running an
+/// event loop of its own. For command-line tools.
 HttpResult SendHttpBlocking(const SocketAddress& address,
                             const HttpRequest& request,
                             common::Duration timeout);
--- a/Source/Core/Connection/http_endpoint_link.cc
+++ b/Source/Core/Connection/http_endpoint_link.cc
@@ -17,15 +17,17 @@
   return {value.at(0).get<common::Term>(), value.at(1).get<common::LogIndex>()};
 }
 
-/// JSON body of an answer; null if it can't be parsed.
-json BodyOf(const HttpResult& result) {
+/// JSON body of a response. Null if there is no response; discarded if the body
+/// is not JSON.
+json ParseBody(const HttpResult& result) {
   const auto* response = std::get_if<HttpResponse>(&result);
   if (response == nullptr) return nullptr;
   return json::parse(response->body, nullptr, /*allow_exceptions=*/false);
 }
 
-/// Builds the body around the operations, which are JSON text already.
-std::string ExecuteBody(const StatementCall& call) {
+/// Builds the request body. The operations are JSON text already and are
+/// inserted without parsing them again.
+std::string BuildExecuteBody(const StatementCall& call) {
   json fields = {{"request_id", call.request_id}};
   if (call.is_write) {
     fields["term"] = call.term;
@@ -55,7 +57,8 @@
   return done;
 }
 
-/// An answer that can't be understood proves nothing about the effect.
+/// A response that is not understood leaves the outcome unknown, because the
+/// statement may have run.
 request::Outcome OutcomeFromJson(json& body) {
   if (!body.is_object()) {
     return request::Unknown{request::UnknownReason::kNoAnswer};
@@ -69,7 +72,7 @@
   return request::NotRun{*reason, std::nullopt};
 }
 
-StatementReply ReplyFrom(const HttpResult& result) {
+StatementReply ParseStatementReply(const HttpResult& result) {
   if (const auto* failure = std::get_if<HttpFailure>(&result)) {
     if (*failure == HttpFailure::kNotSent) {
       return {request::NotRun{request::NotRunReason::kEndpointUnreachable,
@@ -78,7 +81,7 @@
     }
     return {request::Unknown{request::UnknownReason::kNoAnswer}, 0};
   }
-  json body = BodyOf(result);
+  json body = ParseBody(result);
   try {
     StatementReply reply;
     reply.term = body.is_object() ? body.value("term", common::Term{0})
@@ -90,15 +93,15 @@
   }
 }
 
-/// Reads a control answer with the given function; anything that is not a
-/// well-formed answer counts as none.
+/// Parses the reply to a control call with the given function. A malformed
+/// reply counts as a timeout.
 template <typename Answer, typename Read>
-ControlResult<Answer> ControlFrom(const HttpResult& result, Read read) {
+ControlResult<Answer> ParseControlReply(const HttpResult& result, Read read) {
   const auto* failure = std::get_if<HttpFailure>(&result);
   if (failure != nullptr && *failure == HttpFailure::kNotSent) {
     return ControlFailure::kRefused;
   }
-  const json body = BodyOf(result);
+  const json body = ParseBody(result);
   if (!body.is_object()) return ControlFailure::kTimedOut;
   try {
     return read(body);
@@ -139,9 +142,9 @@
 void HttpEndpointLink::Execute(const StatementCall& call,
                                common::Duration timeout,
                                std::function<void(StatementReply)> done) {
-  this->Post("/v1/execute", ExecuteBody(call), timeout,
+  this->Post("/v1/execute", BuildExecuteBody(call), timeout,
              [done = std::move(done)](const HttpResult& result) {
-               done(ReplyFrom(result));
+               done(ParseStatementReply(result));
              });
 }
 
@@ -160,7 +163,7 @@
   };
   this->Post("/v1/confirm", body.dump(), timeout,
              [done = std::move(done), read](const HttpResult& result) {
-               const auto reply = ControlFrom<ConfirmReply>(result, read);
+               const auto reply = ParseControlReply<ConfirmReply>(result, read);
                const auto* answer = std::get_if<ConfirmReply>(&reply);
                done(answer == nullptr ? ConfirmReply{} : *answer);
              });
@@ -173,7 +176,7 @@
   request.path = "/v1/status";
   this->connection.Send(
       request, timeout, [done = std::move(done)](const HttpResult& result) {
-        done(ControlFrom<EndpointStatus>(result, StatusFromJson));
+        done(ParseControlReply<EndpointStatus>(result, StatusFromJson));
       });
 }
 
@@ -183,7 +186,7 @@
   const json body = {{"term", term}, {"proposer", proposer}};
   this->Post("/v1/fence", body.dump(), timeout,
              [done = std::move(done)](const HttpResult& result) {
-               done(ControlFrom<FenceReply>(result, FenceFromJson));
+               done(ParseControlReply<FenceReply>(result, FenceFromJson));
              });
 }
 
@@ -191,10 +194,11 @@
     common::Term term, const std::string& proposer, common::Duration timeout,
     std::function<void(ControlResult<ControlAccepted>)> done) {
   const json body = {{"term", term}, {"proposer", proposer}};
-  this->Post("/v1/promote", body.dump(), timeout,
-             [done = std::move(done)](const HttpResult& result) {
-               done(ControlFrom<ControlAccepted>(result, AcceptedFromJson));
-             });
+  this->Post(
+      "/v1/promote", body.dump(), timeout,
+      [done = std::move(done)](const HttpResult& result) {
+        done(ParseControlReply<ControlAccepted>(result, AcceptedFromJson));
+      });
 }
 
 void HttpEndpointLink::Follow(
@@ -203,10 +207,11 @@
     std::function<void(ControlResult<ControlAccepted>)> done) {
   const json body = {
       {"term", term}, {"proposer", proposer}, {"primary", primary_address}};
-  this->Post("/v1/follow", body.dump(), timeout,
-             [done = std::move(done)](const HttpResult& result) {
-               done(ControlFrom<ControlAccepted>(result, AcceptedFromJson));
-             });
+  this->Post(
+      "/v1/follow", body.dump(), timeout,
+      [done = std::move(done)](const HttpResult& result) {
+        done(ParseControlReply<ControlAccepted>(result, AcceptedFromJson));
+      });
 }
 
 bool HttpEndpointLink::Busy() const { return this->connection.Busy(); }
--- a/Source/Core/Connection/http_endpoint_link.h
+++ b/Source/Core/Connection/http_endpoint_link.h
@@ -6,7 +6,7 @@
 
 namespace camphorferry::connection {
 
-/// Endpoint link over HTTP/1.1 with JSON bodies.
+/// EndpointLink over HTTP/1.1 with JSON bodies.
 class HttpEndpointLink : public EndpointLink {
  public:
   HttpEndpointLink(EventLoop* loop, const SocketAddress& address);
--- a/Source/Core/Connection/http_message.cc
+++ b/Source/Core/Connection/http_message.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-const std::string& Find(const HttpFields& fields, const std::string& name) {
+const std::string& FindOrEmpty(const HttpFields& fields,
+                               const std::string& name) {
   static const std::string kAbsent;
   const auto found = fields.find(name);
   return found == fields.end() ? kAbsent : found->second;
@@ -39,11 +40,11 @@
 
 const std::string& HttpRequest::Header(
     const std::string& lower_case_name) const {
-  return Find(this->headers, lower_case_name);
+  return FindOrEmpty(this->headers, lower_case_name);
 }
 
 const std::string& HttpRequest::Query(const std::string& name) const {
-  return Find(this->query, name);
+  return FindOrEmpty(this->query, name);
 }
 
 }  // namespace camphorferry::connection
--- a/Source/Core/Connection/http_message.h
+++ b/Source/Core/Connection/http_message.h
@@ -17,7 +17,7 @@
   auto operator<=>(const SocketAddress&) const = default;
 };
 
-/// The text is not of the form IP:PORT.
+/// A text does not have the form IP:PORT.
 class BadSocketAddressError : public common::Error {
  public:
   explicit BadSocketAddressError(const std::string& text);
@@ -26,43 +26,44 @@
 /// Parses IP:PORT; throws BadSocketAddressError.
 SocketAddress ParseSocketAddress(const std::string& text);
 
-/// The form that ParseSocketAddress reads.
+/// Formats an address as IP:PORT, the form that ParseSocketAddress accepts.
 std::string ToString(const SocketAddress& address);
 
 /// Headers or query parameters; header names are in lower case.
 using HttpFields = std::map<std::string, std::string>;
 
-/// Request that a server received or a client sends.
+/// HTTP request, received by a server or sent by a client.
 struct HttpRequest {
   std::string method = "GET";
   std::string path;
   HttpFields query;
   HttpFields headers;
   std::string body;
-  /// Identifies the connection that the request came on; unique in a process.
+  /// Identifies the connection that the request arrived on; unique within one
+  /// server. 0 in a client's request.
   std::uint64_t connection_id = 0;
 
-  /// Value of a header, or the empty text.
+  /// Value of a header, or an empty string.
   const std::string& Header(const std::string& lower_case_name) const;
 
-  /// Value of a query parameter, or the empty text.
+  /// Value of a query parameter, or an empty string.
   const std::string& Query(const std::string& name) const;
 };
 
-/// Answer to a request.
+/// HTTP response.
 struct HttpResponse {
   int status = 200;
   HttpFields headers;
   std::string body;
-  /// Closes the connection after the answer.
+  /// True if the connection is closed after the response.
   bool close = false;
 };
 
-/// Why a client got no answer.
+/// Why a client received no response.
 enum class HttpFailure {
-  /// No connection could be made, so the server has not seen the request.
+  /// No connection could be made, so the server has not received the request.
   kNotSent,
-  /// The server may have received the request.
+  /// The request was sent, or partly sent; the server may have processed it.
   kNoAnswer,
 };
 
--- a/Source/Core/Connection/http_object_store.cc
+++ b/Source/Core/Connection/http_object_store.cc
@@ -18,7 +18,7 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 
-std::optional<ObjectVersion> VersionOf(const json& body) {
+std::optional<ObjectVersion> ParseVersion(const json& body) {
   if (!body.is_object()) return std::nullopt;
   const auto version = body.find("version");
   if (version == body.end() || !version->is_number_unsigned()) {
@@ -27,23 +27,23 @@
   return version->get<ObjectVersion>();
 }
 
-ReadResult ReadFrom(const HttpResult& result) {
+ReadResult ParseReadResult(const HttpResult& result) {
   const auto* response = std::get_if<HttpResponse>(&result);
   if (response == nullptr) return StoreNoAnswer{};
   if (response->status == kNotModified) return ObjectUnchanged{};
   if (response->status == kNotFound) return StoredObject{};
   if (response->status != kOk) return StoreNoAnswer{};
   const json body = json::parse(response->body, nullptr, false);
-  const std::optional<ObjectVersion> version = VersionOf(body);
+  const std::optional<ObjectVersion> version = ParseVersion(body);
   if (!version || !body.contains("value")) return StoreNoAnswer{};
   return StoredObject{*version, body.at("value").dump()};
 }
 
-WriteResult WriteFrom(const HttpResult& result) {
+WriteResult ParseWriteResult(const HttpResult& result) {
   const auto* response = std::get_if<HttpResponse>(&result);
   if (response == nullptr) return StoreNoAnswer{};
   const json body = json::parse(response->body, nullptr, false);
-  const std::optional<ObjectVersion> version = VersionOf(body);
+  const std::optional<ObjectVersion> version = ParseVersion(body);
   if (!version) return StoreNoAnswer{};
   if (response->status == kConflict) return ObjectConflict{*version};
   if (response->status == kOk || response->status == kCreated) {
@@ -52,7 +52,7 @@
   return StoreNoAnswer{};
 }
 
-HostListResult HostsFrom(const HttpResult& result) {
+HostListResult ParseHostList(const HttpResult& result) {
   const auto* response = std::get_if<HttpResponse>(&result);
   if (response == nullptr || response->status != kOk) return StoreNoAnswer{};
   const json body = json::parse(response->body, nullptr, false);
@@ -87,7 +87,7 @@
   request.path = "/objects/" + path;
   SendHttpOnce(this->loop, this->address, request, this->timeout,
                [done = std::move(done)](const HttpResult& result) {
-                 done(ReadFrom(result));
+                 done(ParseReadResult(result));
                });
 }
 
@@ -101,7 +101,7 @@
       std::to_string(common::ToMilliseconds(timeout).count());
   SendHttpOnce(this->loop, this->address, request, timeout + this->timeout,
                [done = std::move(done)](const HttpResult& result) {
-                 done(ReadFrom(result));
+                 done(ParseReadResult(result));
                });
 }
 
@@ -116,7 +116,7 @@
   request.body = value;
   SendHttpOnce(this->loop, this->address, request, this->timeout,
                [done = std::move(done)](const HttpResult& result) {
-                 done(WriteFrom(result));
+                 done(ParseWriteResult(result));
                });
 }
 
@@ -125,7 +125,7 @@
   request.path = "/hosts";
   SendHttpOnce(this->loop, this->address, request, this->timeout,
                [done = std::move(done)](const HttpResult& result) {
-                 done(HostsFrom(result));
+                 done(ParseHostList(result));
                });
 }
 
--- a/Source/Core/Connection/http_object_store.h
+++ b/Source/Core/Connection/http_object_store.h
@@ -7,10 +7,11 @@
 
 namespace camphorferry::connection {
 
-/// Object store over HTTP/1.1 with JSON bodies. Each call uses a connection of
-/// its own, so that a silent connection never delays a later call.
+/// ObjectStore over HTTP/1.1 with JSON bodies. Each call opens a new
+/// connection, so that an unresponsive connection never delays a later call.
 class HttpObjectStore : public ObjectStore {
  public:
+  /// The timeout applies to each call; a watch adds its waiting time to it.
   HttpObjectStore(EventLoop* loop, SocketAddress address,
                   common::Duration timeout);
 
--- a/Source/Core/Connection/http_server.cc
+++ b/Source/Core/Connection/http_server.cc
@@ -119,7 +119,8 @@
     bufferevent* stream = evhttp_connection_get_bufferevent(connection);
     shutdown(bufferevent_getfd(stream), SHUT_RDWR);
   }
-  // Libevent frees a request only after an answer; this one can't be written.
+  // Libevent frees a request only after a response was sent. This one fails to
+  // be written, because the socket is shut down.
   HttpResponse unwritable;
   unwritable.status = kInternalServerError;
   this->Send(unwritable);
--- a/Source/Core/Connection/http_server.h
+++ b/Source/Core/Connection/http_server.h
@@ -23,16 +23,17 @@
   explicit ListenError(const SocketAddress& address);
 };
 
-/// Bounds that a server enforces on its callers.
+/// Limits that a server enforces on its clients.
 struct HttpServerLimits {
   std::size_t max_header_bytes = 16 * 1024;
   std::size_t max_body_bytes = 1024 * 1024;
-  /// Closes a connection that sends or accepts nothing for this long.
+  /// A connection without any traffic for this long is closed.
   common::Duration idle_timeout = std::chrono::seconds(60);
 };
 
-/// Sends the answer to one request, at most once. Destroying an unused one
-/// answers with status 500, since libevent needs an answer to free the request.
+/// Sends the response to one request, at most once. If none was sent, the
+/// destructor sends status 500, since libevent frees a request only after a
+/// response.
 class HttpResponder {
  public:
   HttpResponder(evhttp_request* request, std::shared_ptr<bool> server_alive,
@@ -41,10 +42,10 @@
   HttpResponder(const HttpResponder&) = delete;
   HttpResponder& operator=(const HttpResponder&) = delete;
 
-  /// Sends the answer; later calls do nothing.
+  /// Sends the response; later calls do nothing.
   void Send(const HttpResponse& response);
 
-  /// Closes the connection without an answer, as a failing server would. The
+  /// Closes the connection without a response, as a crashing server would. The
   /// process must ignore SIGPIPE.
   void CloseUnanswered();
 
@@ -60,7 +61,7 @@
   using Handler =
       std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
 
-  /// Listens on the address; port 0 lets the system choose. Throws
+  /// Listens on the address; with port 0 the system chooses a free port. Throws
   /// ListenError.
   HttpServer(EventLoop* loop, const SocketAddress& address,
              const HttpServerLimits& limits, Handler handler);
@@ -68,16 +69,16 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// The port in use.
+  /// The port that the server listens on.
   std::uint16_t Port() const { return this->port; }
 
-  /// Requests that were received and not yet answered.
+  /// Number of requests that were received and not yet answered.
   std::size_t ActiveRequests() const { return *this->active; }
 
-  /// Connections that have sent at least one request.
+  /// Number of open connections that have sent at least one request.
   std::size_t OpenConnections() const { return this->connections.size(); }
 
-  /// Closes the listening socket; open connections go on.
+  /// Closes the listening socket; open connections stay open.
   void StopListening();
 
  private:
@@ -91,6 +92,7 @@
   std::uint16_t port = 0;
   std::uint64_t next_connection_id = 1;
   std::unordered_map<evhttp_connection*, std::uint64_t> connections;
+  /// Shared with the responders, which may outlive the server.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
   std::shared_ptr<std::size_t> active = std::make_shared<std::size_t>(0);
 };
--- a/Source/Core/Connection/link_monitor.h
+++ b/Source/Core/Connection/link_monitor.h
@@ -12,23 +12,23 @@
 
 namespace camphorferry::connection {
 
-/// Identifies one open connection to an endpoint; never used again after the
-/// connection is closed.
+/// Identifies a link, which is one open connection to an endpoint. Identifiers
+/// are never reused.
 using LinkId = std::uint64_t;
 
-/// A request was sent on a link, which MayUse allowed.
+/// A request was sent on a link for which MayUse was true.
 struct LinkSent {
   LinkId link = 0;
   std::string request_id;
 };
 
-/// A whole answer arrived on a link.
+/// A complete response arrived on a link.
 struct LinkAnswered {
   LinkId link = 0;
   std::string request_id;
 };
 
-/// The caller gave up waiting for the answer, for example at the deadline.
+/// The caller stopped waiting for the response, for example at its deadline.
 struct LinkAbandoned {
   LinkId link = 0;
 };
@@ -38,45 +38,45 @@
   LinkId link = 0;
 };
 
-/// The probe was answered on its new connection.
+/// The endpoint answered the probe on its new connection.
 struct ProbeAnswered {
   std::uint64_t probe = 0;
 };
 
-/// The probe got no connection or no answer.
+/// The probe could not connect or got no response.
 struct ProbeFailed {
   std::uint64_t probe = 0;
 };
 
-/// Time has passed.
+/// Periodic event that lets the monitor check its time limits.
 struct LinkTick {};
 
 using LinkEvent =
     std::variant<LinkSent, LinkAnswered, LinkAbandoned, LinkClosed,
                  ProbeAnswered, ProbeFailed, LinkTick>;
 
-/// Ask the endpoint for its status on a new connection.
+/// Action: request the endpoint's status on a new connection.
 struct OpenProbe {
   std::uint64_t probe = 0;
 
   bool operator==(const OpenProbe&) const = default;
 };
 
-/// Close a link; a request that is outstanding on it gets no answer any more.
+/// Action: close a link; the request that is pending on it fails.
 struct CloseLink {
   LinkId link = 0;
 
   bool operator==(const CloseLink&) const = default;
 };
 
-/// Send nothing to the endpoint until IsDown is false again.
+/// Action: send nothing to the endpoint until IsDown is false again.
 struct MarkEndpointDown {
   bool operator==(const MarkEndpointDown&) const = default;
 };
 
 using LinkAction = std::variant<OpenProbe, CloseLink, MarkEndpointDown>;
 
-/// A request was sent on a link with an outstanding answer, or that was closed.
+/// A request was sent on a link that has a pending request or was closed.
 class LinkNotUsableError : public common::Error {
  public:
   explicit LinkNotUsableError(LinkId link);
@@ -87,47 +87,50 @@
   LinkId link;
 };
 
-/// A request without an answer for this long makes its link suspect, unless
-/// the endpoint's recent answers were slow.
-inline constexpr common::Duration kSilenceLimit =
+/// A link is suspected of having failed when its request is pending for this
+/// long. The limit is longer if the endpoint's recent responses were slow.
+inline constexpr common::Duration kMinSuspicionTimeout =
     std::chrono::milliseconds(500);
-/// Largest limit for an endpoint that answers slowly.
-inline constexpr common::Duration kMaxSilenceLimit = std::chrono::seconds(5);
-/// A probe without an answer for this long has failed.
+/// Upper bound of the limit for an endpoint that responds slowly.
+inline constexpr common::Duration kMaxSuspicionTimeout =
+    std::chrono::seconds(5);
+/// A probe without a response for this long has failed.
 inline constexpr common::Duration kProbeTimeout =
     std::chrono::milliseconds(500);
-/// Time between a failed probe and the next one. Each probe takes one of the
-/// endpoint's scarce connections.
+/// Time between a failed probe and the next one, since each probe takes up one
+/// of the few connections that the endpoint accepts.
 inline constexpr common::Duration kProbeInterval =
     std::chrono::milliseconds(500);
 
-/// Detects open connections to one endpoint that have gone silent while new
-/// connections work, and tells them from an endpoint that is down. A link
-/// carries one request at a time, so a late answer never meets a later request.
+/// Failure detector for the open connections to one endpoint. It distinguishes
+/// connections that have become unresponsive while new ones work from an
+/// endpoint that is down. A link carries one request at a time, so a late
+/// response can never be matched to a later request.
 class LinkMonitor {
  public:
-  /// Takes an event and returns what has to be done now. Throws
-  /// LinkNotUsableError if a request was sent on a link that MayUse refuses.
+  /// Processes an event and returns the actions to take now. Throws
+  /// LinkNotUsableError if a request was sent on a link for which MayUse is
+  /// false.
   std::vector<LinkAction> Handle(const LinkEvent& event,
                                  common::SteadyTime now);
 
-  /// True if a request may be sent on the link: it has no outstanding answer
-  /// and wasn't closed by this monitor.
+  /// True if a request may be sent on the link: it has no pending request, and
+  /// this monitor has not asked to close it.
   bool MayUse(LinkId link) const;
 
-  /// True from a failed probe until the endpoint answers anything.
+  /// True from a failed probe until the endpoint responds to any request.
   bool IsDown() const { return this->down; }
 
  private:
-  struct Outstanding {
+  struct PendingRequest {
     std::string request_id;
     common::SteadyTime sent;
   };
 
   struct Link {
-    std::optional<Outstanding> outstanding;
-    std::optional<common::SteadyTime> last_answer;
-    /// Set once CloseLink was returned, until LinkClosed confirms it.
+    std::optional<PendingRequest> pending;
+    std::optional<common::SteadyTime> last_response;
+    /// True from the CloseLink action until LinkClosed confirms it.
     bool closing = false;
   };
 
@@ -144,22 +147,23 @@
   void On(const ProbeFailed& event, common::SteadyTime now);
   void On(const LinkTick& event, common::SteadyTime now);
 
-  void CloseSilentLinks(common::SteadyTime probe_opened);
-  void FailProbe(common::SteadyTime now);
+  void CloseUnresponsiveLinks(common::SteadyTime probe_opened);
+  void OnProbeFailure(common::SteadyTime now);
   void OpenProbeIfDue(common::SteadyTime now);
-  bool IsSilent(const Link& link, common::SteadyTime now) const;
-  void LearnLatency(common::Duration latency);
+  bool IsUnresponsive(const Link& link, common::SteadyTime now) const;
+  void UpdateSuspicionTimeout(common::Duration latency);
   void Close(LinkId id, Link* link);
 
   std::map<LinkId, Link> links;
   std::optional<Probe> probe;
-  std::uint64_t next_probe = 1;
-  common::SteadyTime probe_not_before;
+  std::uint64_t next_probe_id = 1;
+  common::SteadyTime next_probe_time;
   bool down = false;
-  /// Slowest recent answer, reduced by each faster one. A probe can't tell a
-  /// slow statement from a silent link, so the limit follows the statements.
-  common::Duration slowest = common::Duration::zero();
-  common::Duration silence_limit = kSilenceLimit;
+  /// Highest recent latency, which decays with each faster response. A probe
+  /// cannot tell a slow statement from an unresponsive link, so the limit
+  /// follows the latency of the statements.
+  common::Duration peak_latency = common::Duration::zero();
+  common::Duration suspicion_timeout = kMinSuspicionTimeout;
   std::vector<LinkAction> actions;
 };
 
--- a/Source/Core/Connection/object_store.h
+++ b/Source/Core/Connection/object_store.h
@@ -11,36 +11,36 @@
 
 namespace camphorferry::connection {
 
-/// Version of an object in the platform's store; 0 means that it is absent.
+/// Version of an object in the platform's store; 0 if the object is absent.
 using ObjectVersion = std::uint64_t;
 
-/// An object that was read. The text is empty if the version is 0.
+/// An object as read from the store.
 struct StoredObject {
   ObjectVersion version = 0;
-  /// JSON text.
+  /// JSON text; empty if the version is 0.
   std::string value;
 };
 
-/// A conditional update took effect.
+/// A conditional write succeeded.
 struct ObjectWritten {
   ObjectVersion version = 0;
 };
 
-/// A conditional update met another version and changed nothing.
+/// A conditional write found another version and changed nothing.
 struct ObjectConflict {
   ObjectVersion version = 0;
 };
 
-/// A watch ended without a change.
+/// A watch timed out without a change.
 struct ObjectUnchanged {};
 
-/// No answer; a change may or may not have taken effect.
+/// The store gave no valid response; a write may or may not have taken effect.
 struct StoreNoAnswer {};
 
 using ReadResult = std::variant<StoredObject, ObjectUnchanged, StoreNoAnswer>;
 using WriteResult = std::variant<ObjectWritten, ObjectConflict, StoreNoAnswer>;
 
-/// Liveness of a host according to the platform, which lags.
+/// Liveness of a host according to the platform, whose view may be outdated.
 enum class HostListState { kLive, kLeaving };
 
 /// One entry of the platform's list of hosts.
@@ -53,11 +53,12 @@
 
 using HostListResult = std::variant<std::vector<HostListEntry>, StoreNoAnswer>;
 
-/// Port to the platform's object API and host list.
+/// Interface to the platform's object API and host list.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
 
+  /// Reads an object; one that does not exist has version 0.
   virtual void Read(const std::string& path,
                     std::function<void(ReadResult)> done) = 0;
 
@@ -66,7 +67,7 @@
                      common::Duration timeout,
                      std::function<void(ReadResult)> done) = 0;
 
-  /// Writes if the object still has the given version; 0 creates it.
+  /// Writes the object if it still has the given version; 0 creates it.
   virtual void Write(const std::string& path, ObjectVersion if_version,
                      const std::string& value,
                      std::function<void(WriteResult)> done) = 0;
--- a/Source/Core/Connection/system_address.h
+++ b/Source/Core/Connection/system_address.h
@@ -7,10 +7,10 @@
 
 namespace camphorferry::connection {
 
-/// The address as socket calls take it; IPv4 only.
+/// Converts an address to the form that socket calls take; IPv4 only.
 sockaddr_in ToSystemAddress(const SocketAddress& address);
 
-/// The port that a listening socket was given by the system, for IPv4 and IPv6.
+/// Port that a socket is bound to, over IPv4 or IPv6.
 std::uint16_t LocalPort(int socket);
 
 }  // namespace camphorferry::connection
--- a/Source/UnitTests/Core/Connection/event_loop_test.cc
+++ b/Source/UnitTests/Core/Connection/event_loop_test.cc
@@ -15,7 +15,7 @@
   std::unique_ptr<EventLoop> loop = std::make_unique<EventLoop>();
 };
 
-TEST_F(EventLoopTest, DelayedAction_Run_HappensOnce) {
+TEST_F(EventLoopTest, DelayedAction_LoopRuns_RunsOnce) {
   int runs = 0;
   this->loop->RunLater(milliseconds(1), [&runs] { ++runs; });
   this->loop->RunLater(milliseconds(20), [this] { this->loop->Stop(); });
@@ -23,9 +23,9 @@
   EXPECT_EQ(runs, 1);
 }
 
-// Guards against actions, and what they own, that outlive a loop which ends
-// before their time.
-TEST_F(EventLoopTest, ActionNotDue_Destruction_FreesIt) {
+// Guards against leaking delayed actions, and the objects that they own, when
+// the loop is destroyed before they are due.
+TEST_F(EventLoopTest, DelayedAction_LoopDestroyed_IsFreed) {
   auto owned = std::make_shared<int>(0);
   const std::weak_ptr<int> watched = owned;
   this->loop->RunLater(seconds(60), [owned] {});
@@ -34,9 +34,9 @@
   EXPECT_TRUE(watched.expired());
 }
 
-// Guards against a leak through an action that queues another one while the
-// loop is destroyed.
-TEST_F(EventLoopTest, ActionQueuedByDroppedAction_Destruction_FreesIt) {
+// Guards against a leak when the destructor of a discarded action queues
+// another action while the loop is being destroyed.
+TEST_F(EventLoopTest, ActionQueuedByDiscardedAction_LoopDestroyed_IsFreed) {
   auto owned = std::make_shared<int>(0);
   const std::weak_ptr<int> watched = owned;
   std::shared_ptr<int> queues_another(
--- a/Source/UnitTests/Core/Connection/http_blocking_test.cc
+++ b/Source/UnitTests/Core/Connection/http_blocking_test.cc
@@ -8,7 +8,8 @@
 namespace camphorferry::connection {
 namespace {
 
-/// A server on a thread of its own, as a command line tool meets it.
+/// HTTP server on a thread of its own for blocking clients, such as
+/// command-line tools.
 class HttpBlockingTest : public testing::Test {
  protected:
   void SetUp() override {
@@ -28,7 +29,7 @@
   }
 
   void TearDown() override {
-    // A posted stop is kept even if the loop has not started yet.
+    // A direct call to Stop would be lost if the loop has not started yet.
     this->loop.Post([this] { this->loop.Stop(); });
     this->thread.join();
   }
@@ -58,9 +59,9 @@
   std::thread thread;
 };
 
-// Guards against a connection that is closed after its loop is gone, which
-// corrupts the heap of a tool between two requests.
-TEST_F(HttpBlockingTest, ManyRequests_Send_EachIsAnswered) {
+// Guards against heap corruption by a connection that is closed after its event
+// loop was destroyed.
+TEST_F(HttpBlockingTest, SendHttpBlocking_ManyRequests_EachIsAnswered) {
   for (int i = 0; i < 50; ++i) {
     const HttpResult result = this->Send("/", std::chrono::seconds(30));
     ASSERT_TRUE(std::holds_alternative<HttpResponse>(result));
@@ -68,8 +69,9 @@
   }
 }
 
-// Guards against the same fault on the ways without an answer.
-TEST_F(HttpBlockingTest, NoAnswer_Send_ReportsWhetherItWasSent) {
+// Guards against the same heap corruption when a request times out or cannot
+// connect.
+TEST_F(HttpBlockingTest, SendHttpBlocking_NoResponse_ReportsWhetherItWasSent) {
   const HttpResult silent = this->Send("/silent", std::chrono::milliseconds(1));
   EXPECT_EQ(std::get<HttpFailure>(silent), HttpFailure::kNoAnswer);
   const SocketAddress closed{"127.0.0.1", 1};
@@ -78,9 +80,9 @@
   EXPECT_EQ(std::get<HttpFailure>(refused), HttpFailure::kNotSent);
 }
 
-// Guards against a process that ends with open connections and corrupts its
-// heap, or leaks them, since their close was posted and never run.
-TEST_F(HttpBlockingTest, OpenConnections_LoopEnds_AreClosedBefore) {
+// Guards against heap corruption or a leak when a loop is destroyed while the
+// closing of its connections is still queued.
+TEST_F(HttpBlockingTest, OpenConnections_LoopDestroyed_AreClosedBefore) {
   for (int i = 0; i < 20; ++i) {
     EventLoop client;
     HttpClientConnection idle(&client, this->address);
--- a/Source/UnitTests/Core/Connection/http_server_test.cc
+++ b/Source/UnitTests/Core/Connection/http_server_test.cc
@@ -12,7 +12,7 @@
 namespace camphorferry::connection {
 namespace {
 
-/// Longer than any test takes; no test depends on it.
+/// Never reached; no test depends on it.
 constexpr common::Duration kTimeout = std::chrono::seconds(60);
 
 class HttpServerTest : public testing::Test {
@@ -28,8 +28,9 @@
   EventLoop loop;
 };
 
-// Guards against an answer that reaches the client of a failing server.
-TEST_F(HttpServerTest, CloseUnanswered_Client_GetsNoAnswer) {
+// Guards against a response that reaches the client although the server was
+// told to close the connection without one.
+TEST_F(HttpServerTest, Client_ServerClosesUnanswered_GetsNoResponse) {
   HttpServer server(&this->loop, {"127.0.0.1", 0}, HttpServerLimits(),
                     [](const HttpRequest& /*request*/,
                        const std::shared_ptr<HttpResponder>& responder) {
@@ -48,9 +49,9 @@
   EXPECT_EQ(server.ActiveRequests(), 0U);
 }
 
-// Guards against memory that is lost with each abandoned request (seen by the
-// leak check of the sanitizer build) and against a callback after the end.
-TEST_F(HttpServerTest, PendingRequest_DestroyClient_IsFreed) {
+// Guards against a memory leak for each abandoned request, which the leak check
+// of the sanitizer build reports, and against a callback after destruction.
+TEST_F(HttpServerTest, PendingRequest_ClientDestroyed_IsFreed) {
   std::vector<std::shared_ptr<HttpResponder>> held;
   std::unique_ptr<HttpClientConnection> client;
   const HttpServer server(&this->loop, {"127.0.0.1", 0}, HttpServerLimits(),
@@ -70,9 +71,9 @@
   EXPECT_FALSE(called);
 }
 
-// Guards against a connection that outlives its event loop when the loop ends
-// before the connection's turn to be closed.
-TEST_F(HttpServerTest, StoppedLoop_DestroyClient_IsFreed) {
+// Guards against a connection that outlives its event loop because the loop
+// ends before the queued close runs.
+TEST_F(HttpServerTest, Client_DestroyedAfterLoopStopped_IsFreed) {
   auto client = std::make_unique<HttpClientConnection>(
       &this->loop, SocketAddress{"127.0.0.1", 1});
   bool called = false;
--- a/Source/UnitTests/Core/Connection/link_monitor_test.cc
+++ b/Source/UnitTests/Core/Connection/link_monitor_test.cc
@@ -17,8 +17,8 @@
 
 class LinkMonitorTest : public testing::Test {
  protected:
-  Actions After(milliseconds passed, const LinkEvent& event) {
-    this->now += passed;
+  Actions After(milliseconds elapsed, const LinkEvent& event) {
+    this->now += elapsed;
     return this->monitor.Handle(event, this->now);
   }
 
@@ -26,9 +26,10 @@
   LinkMonitor monitor;
 };
 
-// Guards against requests that wait on a silent connection while new ones
-// work, and against idle connections that silently fail the next requests.
-TEST_F(LinkMonitorTest, SilentLink_ProbeAnswered_ClosesItAndIdleOnes) {
+// Guards against requests that wait on an unresponsive connection while new
+// connections work, and against idle connections that fail the same way and
+// leave the next requests unanswered.
+TEST_F(LinkMonitorTest, UnresponsiveLink_ProbeAnswered_ClosesItAndIdleLinks) {
   this->After(milliseconds(0), LinkSent{1, "idle"});
   this->After(milliseconds(1), LinkAnswered{1, "idle"});
   this->After(milliseconds(1), LinkSent{2, "silent"});
@@ -43,9 +44,10 @@
   EXPECT_TRUE(this->monitor.MayUse(3));
 }
 
-// Guards against unknown outcomes at an endpoint that is healthy but slow: its
-// statements were closed as silent while the probe was answered.
-TEST_F(LinkMonitorTest, SlowAnswers_NextStatement_GetsMoreTime) {
+// Guards against unknown outcomes at an endpoint that is healthy but slow: the
+// connections of its statements were closed as unresponsive because the probe
+// was answered.
+TEST_F(LinkMonitorTest, NextStatement_AfterSlowResponses_GetsMoreTime) {
   this->After(milliseconds(0), LinkSent{1, "slow"});
   this->After(milliseconds(450), LinkAnswered{1, "slow"});
   this->After(milliseconds(1), LinkSent{1, "slower"});
@@ -54,9 +56,10 @@
   EXPECT_TRUE(this->monitor.MayUse(1));
 }
 
-// Guards against a limit that stays high after the endpoint is fast again, so
-// that a silent link is found late.
-TEST_F(LinkMonitorTest, FastAnswersAfterSlow_SilentLink_IsProbedInTime) {
+// Guards against a time limit that stays high after the endpoint is fast again,
+// which delays the detection of an unresponsive link.
+TEST_F(LinkMonitorTest,
+       UnresponsiveLink_FastResponsesAfterSlow_IsProbedInTime) {
   this->After(milliseconds(0), LinkSent{1, "slow"});
   this->After(milliseconds(450), LinkAnswered{1, "slow"});
   for (int i = 0; i < 20; ++i) {
@@ -67,8 +70,8 @@
   EXPECT_EQ(this->After(milliseconds(500), LinkTick{}), Actions{OpenProbe{1}});
 }
 
-// Guards against closing a link whose slow answer came before the probe's.
-TEST_F(LinkMonitorTest, AnswerBeforeProbe_ProbeAnswered_KeepsLink) {
+// Guards against closing a link whose slow response arrived before the probe's.
+TEST_F(LinkMonitorTest, Link_ResponseBeforeProbeAnswer_IsKept) {
   this->After(milliseconds(0), LinkSent{1, "slow"});
   this->After(milliseconds(500), LinkTick{});
   this->After(milliseconds(5), LinkAnswered{1, "slow"});
@@ -76,9 +79,9 @@
   EXPECT_TRUE(this->monitor.MayUse(1));
 }
 
-// Guards against requests sent to an endpoint that is down, and against one
-// that stays marked after it came back.
-TEST_F(LinkMonitorTest, ProbeFails_Endpoint_IsDownUntilItAnswers) {
+// Guards against requests to an endpoint that is down, and against an endpoint
+// that stays marked as down after its recovery.
+TEST_F(LinkMonitorTest, Endpoint_ProbeFails_IsDownUntilItResponds) {
   this->After(milliseconds(0), LinkSent{1, "r"});
   this->After(milliseconds(500), LinkTick{});
   EXPECT_EQ(this->After(milliseconds(12), ProbeFailed{1}),
@@ -93,46 +96,46 @@
   EXPECT_FALSE(this->monitor.IsDown());
 }
 
-// Guards against a response that reaches the wrong request: whatever happens,
-// a link with an outstanding answer carries no other request.
-RC_GTEST_FIXTURE_PROP(LinkMonitorTest, AnyEvents_MayUse_NeverWithOpenAnswer,
-                      ()) {
-  std::map<LinkId, std::string> outstanding;
+// Guards against a response that is matched to the wrong request: whatever the
+// sequence of events, a link with a pending request accepts no other request.
+RC_GTEST_FIXTURE_PROP(LinkMonitorTest,
+                      MayUse_AnyEvents_NeverTrueWithPendingRequest, ()) {
+  std::map<LinkId, std::string> pending;
   std::set<LinkId> mismatched;
   const int steps = *rc::gen::inRange(0, 100);
   for (int step = 0; step < steps; ++step) {
     const LinkId link = *rc::gen::inRange<LinkId>(1, 4);
-    const auto passed = milliseconds(*rc::gen::inRange(0, 400));
+    const auto elapsed = milliseconds(*rc::gen::inRange(0, 400));
     const std::string id = std::to_string(step);
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         if (!this->monitor.MayUse(link)) {
-          RC_ASSERT_THROWS_AS(this->After(passed, LinkSent{link, id}),
+          RC_ASSERT_THROWS_AS(this->After(elapsed, LinkSent{link, id}),
                               LinkNotUsableError);
           break;
         }
-        RC_ASSERT(outstanding.count(link) == 0 && mismatched.count(link) == 0);
-        this->After(passed, LinkSent{link, id});
-        outstanding[link] = id;
+        RC_ASSERT(pending.count(link) == 0 && mismatched.count(link) == 0);
+        this->After(elapsed, LinkSent{link, id});
+        pending[link] = id;
         break;
       case 1:
-        if (outstanding.count(link) == 0) break;
-        this->After(passed, LinkAnswered{link, outstanding[link]});
-        outstanding.erase(link);
+        if (pending.count(link) == 0) break;
+        this->After(elapsed, LinkAnswered{link, pending[link]});
+        pending.erase(link);
         break;
       case 2:
-        if (outstanding.count(link) == 0) break;
-        this->After(passed, LinkAnswered{link, "other"});
+        if (pending.count(link) == 0) break;
+        this->After(elapsed, LinkAnswered{link, "other"});
         mismatched.insert(link);
         break;
       case 3:
-        this->After(passed, LinkAbandoned{link});
+        this->After(elapsed, LinkAbandoned{link});
         break;
       case 4:
-        this->After(passed, ProbeAnswered{*rc::gen::inRange<LinkId>(1, 9)});
+        this->After(elapsed, ProbeAnswered{*rc::gen::inRange<LinkId>(1, 9)});
         break;
       default:
-        this->After(passed, LinkTick{});
+        this->After(elapsed, LinkTick{});
     }
   }
 }
