--- a/Source/UnitTests/Core/Connection/http_server_test.cc
+++ b/Source/UnitTests/Core/Connection/http_server_test.cc
@@ -73,7 +73,7 @@
 
 // Guards against a connection that outlives its event loop because the loop
 // ends before the queued close runs.
-TEST_F(HttpServerTest, Client_DestroyedAfterLoopStopped_IsFreed) {
+TEST_F(HttpServerTest, Client_LoopEndsBeforeQueuedClose_IsFreed) {
   auto client = std::make_unique<HttpClientConnection>(
       &this->loop, SocketAddress{"127.0.0.1", 1});
   bool called = false;
--- a/Source/UnitTests/Platform/documents_test.cc
+++ b/Source/UnitTests/Platform/documents_test.cc
@@ -34,7 +34,7 @@
   }
 };
 
-TEST_F(DocumentsTest, Server_DecodeObject_IsAMember) {
+TEST_F(DocumentsTest, DecodeObject_Server_ReturnsMember) {
   const auto change = Decode(DirectoryKind::kMembers, Server());
   const auto& member = std::get<session::GroupMember>(change.value);
   EXPECT_EQ(member.id.Value(), "n");
@@ -43,19 +43,21 @@
   EXPECT_FALSE(member.reports_primary);
 }
 
-// Guards against an object that reads differently once another daemon has
-// passed it on.
-TEST_F(DocumentsTest, KeptDocument_DecodeText_GivesTheSame) {
+// Guards against an object that is decoded differently after another daemon has
+// forwarded it.
+TEST_F(DocumentsTest, DecodeDocument_StoredText_ReturnsSameValue) {
   const auto change = Decode(DirectoryKind::kMembers, Server());
-  const auto again = DecodeText(DirectoryKind::kMembers, "n", change.document);
+  const auto again =
+      DecodeDocument(DirectoryKind::kMembers, "n", change.document);
   EXPECT_EQ(std::get<session::GroupMember>(again),
             std::get<session::GroupMember>(change.value));
   EXPECT_TRUE(std::holds_alternative<session::UnreadableObject>(
-      DecodeText(DirectoryKind::kMembers, "n", "{")));
+      DecodeDocument(DirectoryKind::kMembers, "n", "{")));
 }
 
-// Guards against entries of other writers that stop the feed or get traffic.
-TEST_F(DocumentsTest, ForeignServers_DecodeObject_AreUnreadable) {
+// Guards against invalid entries of other writers that stop the directory feed
+// or receive traffic.
+TEST_F(DocumentsTest, DecodeObject_InvalidServer_IsUnreadable) {
   for (const char* field : {"service", "addr", "zone", "state", "dbRole"}) {
     json spec = Server();
     spec.erase(field);
@@ -69,7 +71,8 @@
   EXPECT_TRUE(Unreadable(Decode(DirectoryKind::kMembers, "bytes")));
 }
 
-TEST_F(DocumentsTest, Configuration_Decode_ReadsRoutesKeysAndRates) {
+TEST_F(DocumentsTest,
+       DecodeConfiguration_ValidDocument_ReadsRoutesKeysAndRates) {
   const json document = {
       {"version", 7},
       {"routes",
@@ -96,17 +99,18 @@
             std::chrono::milliseconds(2000));
 }
 
-// Guards against a duty record whose renewal the store skips as unchanged.
-TEST_F(DocumentsTest, RenewedDuty_Encode_Differs) {
+// Guards against a renewal of the duty record that the store ignores because
+// nothing in it has changed.
+TEST_F(DocumentsTest, EncodeDuty_Renewal_Differs) {
   session::PromotionDuty duty{common::HostId("h"), true, 4};
   const json before = EncodeDuty(duty);
   duty.revision = 5;
   EXPECT_NE(before, EncodeDuty(duty));
 }
 
-// Guards against fakes whose documents say something else than the adapter
-// reads: tests and soak would run on other settings than they state.
-TEST_F(DocumentsTest, FakeDocuments_Decode_GiveWhatWasEncoded) {
+// Guards against fakes whose documents do not match what the decoders read:
+// tests and soak runs would use other settings than they state.
+TEST_F(DocumentsTest, FakeDocuments_EncodedAndDecoded_AreUnchanged) {
   session::GroupMember member;
   member.id = common::EndpointId("n");
   member.service = common::ServiceId("s");
--- a/Source/UnitTests/Platform/fake_database.cc
+++ b/Source/UnitTests/Platform/fake_database.cc
@@ -57,7 +57,7 @@
                             void* context) {
   auto* database = static_cast<FakeDatabase*>(context);
   auto connection = std::make_shared<Connection>();
-  connection->number = ++database->connections_made;
+  connection->number = ++database->connections_accepted;
   connection->stream =
       std::make_shared<session::MessageStream>(database->loop, socket);
   database->connections[connection->number] = connection;
@@ -99,7 +99,7 @@
       return;
     }
     connection->open = true;
-    connection->stream->Send(this->Ready(*connection));
+    connection->stream->Send(this->ReadyMessage(*connection));
     return;
   }
   std::string request_id;
@@ -112,11 +112,13 @@
     return;
   }
   if (treatment == Treatment::kBusy) {
-    connection->stream->Send("ERROR BUSY -\r\n" + this->Ready(*connection));
+    connection->stream->Send("ERROR BUSY -\r\n" +
+                             this->ReadyMessage(*connection));
     return;
   }
   if (treatment == Treatment::kFail) {
-    connection->stream->Send("ERROR FAILED -\r\n" + this->Ready(*connection));
+    connection->stream->Send("ERROR FAILED -\r\n" +
+                             this->ReadyMessage(*connection));
     return;
   }
   const std::string reply = this->Execute(connection, request_id, text);
@@ -128,7 +130,7 @@
   connection->stream->Send(reply);
 }
 
-std::string FakeDatabase::Ready(const Connection& connection) const {
+std::string FakeDatabase::ReadyMessage(const Connection& connection) const {
   const char* state = "I";
   if (connection.in_transaction) state = connection.failed ? "E" : "T";
   return std::string("READY ") + state + " " +
@@ -136,15 +138,15 @@
          std::to_string(this->position.index) + "\r\n";
 }
 
-std::string FakeDatabase::Signed(const Connection& connection,
-                                 const std::string& request,
-                                 const std::string& rows) const {
+std::string FakeDatabase::SignedResponse(const Connection& connection,
+                                         const std::string& request,
+                                         const std::string& rows) const {
   return rows + "COMPLETE sig." + this->id + "." + request + "\r\n" +
-         this->Ready(connection);
+         this->ReadyMessage(connection);
 }
 
 void FakeDatabase::Record(const RunStatement& statement) {
-  this->ran.push_back(statement);
+  this->executed.push_back(statement);
   this->on_run(statement);
 }
 
@@ -166,11 +168,11 @@
 std::string FakeDatabase::Execute(Connection* connection, const std::string& id,
                                   std::string text) {
   const auto done = [&](const std::string& rows) {
-    return rows + "COMPLETE -\r\n" + this->Ready(*connection);
+    return rows + "COMPLETE -\r\n" + this->ReadyMessage(*connection);
   };
   const auto refuse = [&](const std::string& code) {
     if (connection->in_transaction) connection->failed = true;
-    return "ERROR " + code + " -\r\n" + this->Ready(*connection);
+    return "ERROR " + code + " -\r\n" + this->ReadyMessage(*connection);
   };
   std::istringstream words(text);
   std::string verb;
@@ -258,7 +260,7 @@
     connection->in_transaction = false;
     if (!connection->wrote) {
       this->Record(record);
-      return this->Signed(*connection, id, "");
+      return this->SignedResponse(*connection, id, "");
     }
     if (!this->primary) return refuse("READONLY");
   }
@@ -277,7 +279,7 @@
     this->on_commit();
     if (!this->acknowledges()) return "";
   }
-  return this->Signed(
+  return this->SignedResponse(
       *connection, id,
       writes || commits ? "" : "ROW " + this->ValueOf(item) + "\r\n");
 }
--- a/Source/UnitTests/Platform/fake_database.h
+++ b/Source/UnitTests/Platform/fake_database.h
@@ -19,25 +19,25 @@
 /// How a fake database treats one command.
 enum class Treatment {
   kRun,
-  /// Runs it and closes the connection without an answer.
+  /// Runs it and closes the connection without a response.
   kRunAndClose,
-  /// Runs it and stays silent.
+  /// Runs it and never responds.
   kRunAndHang,
-  /// Closes before it runs.
+  /// Closes the connection without running it.
   kClose,
-  /// Refuses with BUSY.
+  /// Refuses it with BUSY.
   kBusy,
-  /// Runs it and reports a failure.
+  /// Refuses it with FAILED.
   kFail
 };
 
-/// A statement that a fake database has run for a client.
+/// A statement that a fake database has executed for a client.
 struct RunStatement {
   std::string id;
   std::string text;
   std::string caller;
   std::map<std::string, std::string> values;
-  /// Shape behind the name of an execution.
+  /// Text of the prepared statement that an EXECUTE names.
   std::string shape;
   bool in_transaction = false;
   std::size_t connection = 0;
@@ -50,8 +50,9 @@
   std::string data;
 };
 
-/// Database that speaks the platform's wire protocol on a loopback port. Its
-/// state is public: tests set role, term and positions directly.
+/// Fake database that speaks the platform's wire protocol on a loopback port.
+/// Its state is public, so that tests can set role, term and positions
+/// directly.
 class FakeDatabase {
  public:
   FakeDatabase(connection::EventLoop* loop, std::string service,
@@ -60,26 +61,28 @@
   FakeDatabase(const FakeDatabase&) = delete;
   FakeDatabase& operator=(const FakeDatabase&) = delete;
 
-  /// Its registration.
+  /// Entry that registers this database in the platform's store.
   session::GroupMember Entry() const;
 
   bool primary = false;
   common::Term term = 1;
   common::LogPosition position{1, 1};
+  /// Term of the PAUSE that is in force; 0 if the database is not paused.
   common::Term held = 0;
   std::size_t max_connections = 16;
-  /// Decides about each command; runs it if unset.
+  /// Decides how each command is treated; commands are run if it is unset.
   std::function<Treatment(const std::string& text)> treat;
-  /// Called for each committed write.
+  /// Called for each commit that contains writes.
   std::function<void()> on_commit = [] {};
-  /// Asked after each commit; a commit that is not acknowledged gets no answer.
+  /// Called after each commit; a commit for which it returns false gets no
+  /// response.
   std::function<bool()> acknowledges = [] { return true; };
-  /// Called for each statement that has run.
+  /// Called for each statement that was executed.
   std::function<void(const RunStatement&)> on_run = [](const RunStatement&) {};
-  std::vector<RunStatement> ran;
-  /// Committed writes in order; a read finds the latest of its item.
+  std::vector<RunStatement> executed;
+  /// Committed writes in order; a read returns the latest write of its item.
   std::vector<Commit> log;
-  std::size_t connections_made = 0;
+  std::size_t connections_accepted = 0;
   std::size_t Connections() const { return this->connections.size(); }
 
  private:
@@ -90,9 +93,10 @@
   void OnLine(Connection* connection, const std::string& line);
   std::string Execute(Connection* connection, const std::string& id,
                       std::string text);
-  std::string Ready(const Connection& connection) const;
-  std::string Signed(const Connection& connection, const std::string& request,
-                     const std::string& rows) const;
+  std::string ReadyMessage(const Connection& connection) const;
+  std::string SignedResponse(const Connection& connection,
+                             const std::string& request,
+                             const std::string& rows) const;
   void Record(const RunStatement& statement);
   std::string ValueOf(const std::string& item) const;
   std::string StatusRow() const;
--- a/Source/UnitTests/Platform/fake_documents.h
+++ b/Source/UnitTests/Platform/fake_documents.h
@@ -7,14 +7,15 @@
 
 namespace camphorferry::platform {
 
-/// The operator's configuration as the platform's store holds it.
+/// Encodes the operator's configuration as the platform's store contains it.
 nlohmann::json EncodeConfiguration(
     const session::DirectoryConfiguration& configuration);
 
-/// A database's registration.
+/// Encodes the registration of a database.
 nlohmann::json EncodeMember(const session::GroupMember& member);
 
-/// The settings file of a proxy, with store and promotion call at one address.
+/// Encodes the settings file of a proxy, with the store and the promotion API
+/// at the same address.
 nlohmann::json EncodeSettings(const session::ProxySettings& settings,
                               const connection::SocketAddress& store);
 
--- a/Source/UnitTests/Platform/fake_store.cc
+++ b/Source/UnitTests/Platform/fake_store.cc
@@ -20,10 +20,10 @@
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
 
-/// Interval at which waiting watches are looked at.
-constexpr std::chrono::milliseconds kTick(20);
-/// Delay of a slow store's answers.
-constexpr std::chrono::milliseconds kSlowAnswer(400);
+/// Interval at which pending watches are checked for changes and timeouts.
+constexpr std::chrono::milliseconds kWatchPollInterval(20);
+/// Delay of the responses in StoreState::kSlow.
+constexpr std::chrono::milliseconds kSlowResponseDelay(400);
 
 HttpResponse Json(int status, const json& body) {
   HttpResponse response;
@@ -43,7 +43,8 @@
       [this](const HttpRequest& request, const Responder& responder) {
         this->OnRequest(request, responder);
       });
-  this->tick = loop->Every(kTick, [this] { this->AnswerWatchers(); });
+  this->watch_timer =
+      loop->Every(kWatchPollInterval, [this] { this->AnswerWatchers(); });
 }
 
 connection::SocketAddress FakeStore::Address() const {
@@ -91,7 +92,7 @@
       this->unanswered.push_back(responder);
       return;
     case StoreState::kSlow:
-      this->loop->RunLater(kSlowAnswer, [this, request, responder] {
+      this->loop->RunLater(kSlowResponseDelay, [this, request, responder] {
         this->Answer(request, responder);
       });
       return;
@@ -128,7 +129,7 @@
   this->watchers.push_back(std::move(watcher));
 }
 
-json FakeStore::EventsOf(const Watcher& watcher) const {
+json FakeStore::EventsFor(const Watcher& watcher) const {
   json events = json::array();
   for (const Change& change : this->history) {
     if (change.revision <= watcher.after || change.kind != watcher.kind) {
@@ -140,13 +141,13 @@
 }
 
 void FakeStore::AnswerWatchers() {
-  // A store that is down answers its watches neither.
+  // A store that is down does not answer its watches either.
   if (this->state == StoreState::kBusy || this->state == StoreState::kSilent) {
     return;
   }
   const common::SteadyTime now = common::SteadyNow();
   for (auto it = this->watchers.begin(); it != this->watchers.end();) {
-    json events = this->EventsOf(*it);
+    json events = this->EventsFor(*it);
     if (events.empty() && now < it->until) {
       ++it;
       continue;
@@ -157,7 +158,7 @@
   }
 }
 
-json FakeStore::ListOf(const std::string& kind) const {
+json FakeStore::ListObjects(const std::string& kind) const {
   json items = json::array();
   const auto found = this->objects.find(kind);
   if (found != this->objects.end()) {
@@ -177,7 +178,7 @@
   const std::string name =
       slash == std::string::npos ? "" : rest.substr(slash + 1);
   if (request.method != "GET") return this->ServeChange(request, kind, name);
-  if (name.empty()) return Json(200, this->ListOf(kind));
+  if (name.empty()) return Json(200, this->ListObjects(kind));
   const auto found = this->objects[kind].find(name);
   if (found == this->objects[kind].end()) return Json(kNotFound, {});
   return Json(200, found->second);
--- a/Source/UnitTests/Platform/fake_store.h
+++ b/Source/UnitTests/Platform/fake_store.h
@@ -13,25 +13,25 @@
 
 namespace camphorferry::platform {
 
-/// How the store answers.
+/// How the store responds to calls.
 enum class StoreState {
   kUp,
   /// Every call gets 503.
   kBusy,
-  /// Calls get no answer.
+  /// Calls get no response.
   kSilent,
-  /// Answers take longer.
+  /// Responses are delayed.
   kSlow,
-  /// Changes are made, and their answers are lost.
+  /// Writes take effect, and their responses are lost.
   kLosesAnswers
 };
 
-/// The platform's object store and promotion call, as far as the proxy uses
-/// them: lists, watches, conditional changes, and a history that can be
-/// dropped.
+/// Fake of the platform's object store and promotion API, as far as the proxy
+/// uses them: lists, watches, conditional writes, and a change history that can
+/// be discarded.
 class FakeStore {
  public:
-  /// Carries out a promotion; returns false if the database can't be promoted.
+  /// Carries out a promotion; returns false if the database cannot be promoted.
   using Promoter =
       std::function<bool(const std::string& service, const std::string& id)>;
 
@@ -41,19 +41,19 @@
 
   void SetState(StoreState changed);
 
-  /// Forgets the history, so that watches from before get 410.
+  /// Discards the change history, so that watches from older revisions get 410.
   void DropHistory();
 
-  /// Writes the configuration as the operator does.
+  /// Writes the configuration, as the operator does.
   void Put(const session::DirectoryConfiguration& configuration);
 
-  /// Writes an entry as a database does.
+  /// Writes the registration of a database, as the database does.
   void Put(const session::GroupMember& member);
 
-  /// Calls that have arrived.
+  /// Number of calls received.
   std::size_t Calls() const { return this->calls; }
 
-  /// Tokens of all promotion calls, in order.
+  /// Fencing tokens of all promotion calls, in order of arrival.
   const std::vector<std::uint64_t>& PromotionTokens() const {
     return this->promotion_tokens;
   }
@@ -87,8 +87,8 @@
                                        const std::string& name);
   connection::HttpResponse ServePromotion(
       const connection::HttpRequest& request);
-  nlohmann::json ListOf(const std::string& kind) const;
-  nlohmann::json EventsOf(const Watcher& watcher) const;
+  nlohmann::json ListObjects(const std::string& kind) const;
+  nlohmann::json EventsFor(const Watcher& watcher) const;
   void AnswerWatchers();
 
   connection::EventLoop* loop;
@@ -99,12 +99,12 @@
   std::map<std::string, std::map<std::string, nlohmann::json>> objects;
   std::vector<Change> history;
   std::list<Watcher> watchers;
-  /// Calls that get no answer as long as the store lives.
+  /// Calls that stay unanswered until the state changes.
   std::vector<Responder> unanswered;
   std::size_t calls = 0;
   std::vector<std::uint64_t> promotion_tokens;
   std::unique_ptr<connection::HttpServer> server;
-  std::unique_ptr<connection::Timer> tick;
+  std::unique_ptr<connection::Timer> watch_timer;
 };
 
 }  // namespace camphorferry::platform
--- a/Source/UnitTests/Platform/promotion_task_test.cc
+++ b/Source/UnitTests/Platform/promotion_task_test.cc
@@ -11,7 +11,8 @@
 using session::EndpointStatus;
 using std::chrono::milliseconds;
 
-/// A group with a dead primary and two replicas of which one does not answer.
+/// A group with a failed primary and two replicas, one of which does not
+/// respond.
 class PromotionTaskTest : public testing::Test {
  protected:
   PromotionTaskTest() {
@@ -67,8 +68,8 @@
   std::unique_ptr<session::PromotionTask> task;
 };
 
-// Guards against replicas that stay held after their promoter has given up.
-TEST_F(PromotionTaskTest, MembersSilent_GivenUp_Resumes) {
+// Guards against replicas that stay paused after their promotion was abandoned.
+TEST_F(PromotionTaskTest, Promotion_MembersUnresponsive_ResumesReplicas) {
   this->task->Tick(common::SteadyNow() + milliseconds(2500));
   EXPECT_TRUE(this->Resumed());
   EXPECT_FALSE(this->platform.duty.active);
@@ -77,9 +78,9 @@
             std::string::npos);
 }
 
-// Guards against a promoter that was suspended, lost the duty meanwhile, and
-// lets replicas receive while its successor promotes one of them.
-TEST_F(PromotionTaskTest, DutyTakenOver_GivenUp_LeavesReplicasHeld) {
+// Guards against a daemon that was suspended, lost the promotion duty
+// meanwhile, and resumes replicas while its successor promotes one of them.
+TEST_F(PromotionTaskTest, Promotion_DutyTakenOver_LeavesReplicasPaused) {
   this->platform.duty.holder = common::HostId("other");
   this->platform.duty.revision = ++this->platform.revision;
   this->RunFor(milliseconds(700));
--- a/Source/UnitTests/Platform/proxy_fixture.h
+++ b/Source/UnitTests/Platform/proxy_fixture.h
@@ -16,18 +16,18 @@
 
 namespace camphorferry::platform {
 
-/// Below the longest message.
-constexpr std::size_t kBigRowBytes = 900 * 1024;
+/// Less than the maximum message size of 1 MiB.
+constexpr std::size_t kLargeRowBytes = 900 * 1024;
 
-/// Limit of a statement unless a test needs another.
+/// Statement timeout of the routes, unless a test sets another.
 constexpr std::chrono::milliseconds kStatementTimeout(300);
 
-/// A proxy before one group of fake databases, with a fake platform.
+/// A proxy in front of one group of three fake databases, with a fake platform.
 class ProxyTest : public testing::Test {
  protected:
   ProxyTest() {
-    this->p.primary = true;
-    this->p.on_commit = [this] { this->Replicate(); };
+    this->primary_database.primary = true;
+    this->primary_database.on_commit = [this] { this->Replicate(); };
     session::ProxySettings settings;
     settings.place.host = common::HostId("own");
     settings.place.domain = common::FailureDomainId("zone");
@@ -39,9 +39,9 @@
     settings.stop_grace = std::chrono::seconds(4);
     this->proxy = std::make_unique<session::Proxy>(&this->loop, &this->format,
                                                    &this->platform, settings);
-    this->Configure(1);
+    this->PublishConfiguration(1);
     this->PublishMembers();
-    this->Answer(session::DirectoryKind::kHosts, {});
+    this->AnswerDirectoryCall(session::DirectoryKind::kHosts, {});
   }
 
   ~ProxyTest() override { this->RunFor(std::chrono::milliseconds(1)); }
@@ -51,15 +51,16 @@
     this->loop.Run();
   }
 
-  /// Replicas that receive take over the primary's log.
+  /// Copies the primary's position to the replicas that are not paused.
   void Replicate() {
-    for (FakeDatabase* replica : {&this->a, &this->b}) {
-      if (replica->held == 0) replica->position = this->p.position;
+    for (FakeDatabase* member : {&this->replica_a, &this->replica_b}) {
+      if (member->held == 0) member->position = this->primary_database.position;
     }
   }
 
-  void Answer(session::DirectoryKind kind,
-              std::vector<session::DirectoryChange> changes) {
+  /// Answers the pending list or watch call of a kind with the given changes.
+  void AnswerDirectoryCall(session::DirectoryKind kind,
+                           std::vector<session::DirectoryChange> changes) {
     const std::uint64_t revision = ++this->directory_revision;
     auto& lists = this->platform.lists[kind];
     if (!lists.empty()) {
@@ -68,7 +69,7 @@
       done(session::DirectoryChanges{std::move(changes), revision});
       return;
     }
-    // A feed pauses between a watch with changes and the next.
+    // The feed pauses after a watch that returned changes.
     while (this->platform.watches[kind].empty()) {
       this->RunFor(std::chrono::milliseconds(5));
     }
@@ -111,25 +112,29 @@
     return configuration;
   }
 
-  void Configure(std::uint64_t version, bool with_key = true,
-                 session::WorkspaceRate rate = {100000, 100000},
-                 std::uint32_t max_connections = 16,
-                 common::Duration statement_timeout = kStatementTimeout) {
-    this->Answer(session::DirectoryKind::kConfiguration,
-                 {{"main", ++this->directory_revision, false,
-                   MakeConfiguration(version, with_key, rate, max_connections,
-                                     statement_timeout),
-                   ""}});
+  void PublishConfiguration(
+      std::uint64_t version, bool with_key = true,
+      session::WorkspaceRate rate = {100000, 100000},
+      std::uint32_t max_connections = 16,
+      common::Duration statement_timeout = kStatementTimeout) {
+    this->AnswerDirectoryCall(
+        session::DirectoryKind::kConfiguration,
+        {{"main", ++this->directory_revision, false,
+          MakeConfiguration(version, with_key, rate, max_connections,
+                            statement_timeout),
+          ""}});
   }
 
   void PublishMembers() {
     std::vector<session::DirectoryChange> changes;
-    for (FakeDatabase* database : {&this->p, &this->a, &this->b}) {
+    for (FakeDatabase* database :
+         {&this->primary_database, &this->replica_a, &this->replica_b}) {
       const session::GroupMember entry = database->Entry();
       changes.push_back(
           {entry.id.Value(), ++this->directory_revision, false, entry, ""});
     }
-    this->Answer(session::DirectoryKind::kMembers, std::move(changes));
+    this->AnswerDirectoryCall(session::DirectoryKind::kMembers,
+                              std::move(changes));
   }
 
   std::unique_ptr<TestClient> Connect(const std::string& database) {
@@ -139,40 +144,45 @@
     return client;
   }
 
-  /// Writes again after each refusal, as a client does; the last answer.
-  std::vector<std::string> WriteUntilDone(TestClient* client) {
+  /// Retries a write after each refusal, as a client does. Returns the last
+  /// response.
+  std::vector<std::string> WriteUntilCommitted(TestClient* client) {
     std::vector<std::string> answer;
     constexpr int kAttempts = 40;
     for (int attempt = 0; attempt < kAttempts; ++attempt) {
       answer =
           client->Ask("QUERY " + std::to_string(attempt + 2) + " WRITE x z");
-      if (Has(answer, "COMPLETE")) break;
+      if (HasLine(answer, "COMPLETE")) break;
       this->RunFor(std::chrono::milliseconds(100));
     }
     return answer;
   }
 
-  std::vector<RunStatement> AllRun() const {
+  std::vector<RunStatement> AllExecuted() const {
     std::vector<RunStatement> all;
-    for (const FakeDatabase* database : {&this->p, &this->a, &this->b}) {
-      all.insert(all.end(), database->ran.begin(), database->ran.end());
+    for (const FakeDatabase* database :
+         {&this->primary_database, &this->replica_a, &this->replica_b}) {
+      all.insert(all.end(), database->executed.begin(),
+                 database->executed.end());
     }
     return all;
   }
 
-  /// Statements that have run; one may run again where its answer was late.
-  std::set<std::string> RunIds() const {
+  /// Identifiers of the statements that were executed. A read may be executed
+  /// more than once if its response was late.
+  std::set<std::string> ExecutedIds() const {
     std::set<std::string> ids;
-    for (const RunStatement& statement : this->AllRun()) {
+    for (const RunStatement& statement : this->AllExecuted()) {
       ids.insert(statement.id);
     }
     return ids;
   }
 
-  /// Opens a session and asks for long rows without waiting for answers.
-  void SendBigReads(const SlowClient& client, std::size_t count) {
-    for (FakeDatabase* database : {&this->p, &this->a, &this->b}) {
-      database->log.push_back({"0", "big", std::string(kBigRowBytes, 'x')});
+  /// Opens a session and requests large rows without waiting for responses.
+  void SendLargeReads(const SlowClient& client, std::size_t count) {
+    for (FakeDatabase* database :
+         {&this->primary_database, &this->replica_a, &this->replica_b}) {
+      database->log.push_back({"0", "big", std::string(kLargeRowBytes, 'x')});
     }
     client.Send("STARTUP latest key");
     this->RunFor(std::chrono::milliseconds(50));
@@ -181,8 +191,8 @@
     }
   }
 
-  static bool Has(const std::vector<std::string>& lines,
-                  const std::string& start) {
+  static bool HasLine(const std::vector<std::string>& lines,
+                      const std::string& start) {
     return std::any_of(
         lines.begin(), lines.end(),
         [&](const std::string& line) { return line.starts_with(start); });
@@ -191,9 +201,9 @@
   connection::EventLoop loop;
   WireFormat format;
   session::FakePlatform platform;
-  FakeDatabase p{&this->loop, "svc", "p"};
-  FakeDatabase a{&this->loop, "svc", "a"};
-  FakeDatabase b{&this->loop, "svc", "b"};
+  FakeDatabase primary_database{&this->loop, "svc", "p"};
+  FakeDatabase replica_a{&this->loop, "svc", "a"};
+  FakeDatabase replica_b{&this->loop, "svc", "b"};
   std::uint64_t directory_revision = 1;
   std::unique_ptr<session::Proxy> proxy;
 };
--- a/Source/UnitTests/Platform/settings_file_test.cc
+++ b/Source/UnitTests/Platform/settings_file_test.cc
@@ -43,16 +43,16 @@
   std::string path;
 };
 
-TEST_F(SettingsFileTest, ValidFile_Read_GivesAddressesAndGrace) {
+TEST_F(SettingsFileTest, ReadSettingsFile_ValidFile_ReturnsAddressesAndGrace) {
   const SettingsFile settings = this->Read(Valid().dump());
   EXPECT_EQ(settings.proxy.clients.port, 1);
   EXPECT_EQ(settings.proxy.peers.port, 7560);
-  EXPECT_EQ(settings.store.port, 4);
+  EXPECT_EQ(settings.store_address.port, 4);
   EXPECT_EQ(settings.proxy.stop_grace, std::chrono::seconds(6));
 }
 
-// Guards against a daemon that starts with half of its settings.
-TEST_F(SettingsFileTest, MissingOrWrongFields_Read_Throws) {
+// Guards against a daemon that starts with incomplete or invalid settings.
+TEST_F(SettingsFileTest, ReadSettingsFile_MissingOrInvalidFields_Throws) {
   for (const char* field : {"node", "zone", "listen", "platform", "cloudApi"}) {
     json document = Valid();
     document.erase(field);
--- a/Source/UnitTests/Platform/store_client_test.cc
+++ b/Source/UnitTests/Platform/store_client_test.cc
@@ -21,7 +21,7 @@
 
 class StoreClientTest : public testing::Test {
  protected:
-  // The fake store writes to connections that it has shut down itself.
+  // The fake store writes to sockets that it has shut down itself.
   StoreClientTest() { std::signal(SIGPIPE, SIG_IGN); }
 
   static session::GroupMember Member(const std::string& id) {
@@ -43,7 +43,7 @@
     return names;
   }
 
-  /// Runs the loop until the call that is started has called back.
+  /// Starts a call and runs the loop until its callback.
   template <typename Result, typename Start>
   Result Await(Start start) {
     std::optional<Result> result;
@@ -76,7 +76,8 @@
         [&](auto done) { this->client.WriteDuty(duty, std::move(done)); });
   }
 
-  /// A server with one fixed body for each value of the query "after".
+  /// Starts a server with a fixed body for each value of the query parameter
+  /// "after".
   std::unique_ptr<connection::HttpServer> ServeBodies(
       std::map<std::string, std::string> bodies) {
     return std::make_unique<connection::HttpServer>(
@@ -96,7 +97,7 @@
   StoreClient client{&this->loop, this->store.Address(), this->store.Address()};
 };
 
-TEST_F(StoreClientTest, ChangeAfterListing_Watch_ReportsOnlyIt) {
+TEST_F(StoreClientTest, Watch_ChangeAfterListing_ReportsOnlyThatChange) {
   this->store.Put(Member("a"));
   const auto listed = this->List(&this->client);
   EXPECT_EQ(Names(listed), (std::vector<std::string>{"a"}));
@@ -106,8 +107,9 @@
   EXPECT_EQ(Names(changed), (std::vector<std::string>{"b"}));
 }
 
-// Guards against a feed that goes on from a revision whose changes are lost.
-TEST_F(StoreClientTest, HistoryDropped_Watch_SaysSo) {
+// Guards against a feed that continues from a revision whose changes are no
+// longer available.
+TEST_F(StoreClientTest, Watch_HistoryDropped_ReturnsHistoryGone) {
   this->store.Put(Member("a"));
   const auto listed = this->List(&this->client);
   this->store.Put(Member("b"));
@@ -117,8 +119,8 @@
       std::get<DirectoryChanges>(listed).revision, milliseconds(200))));
 }
 
-// Guards against a refused or unanswered call that looks like an empty store.
-TEST_F(StoreClientTest, BusyOrSilent_List_IsUnavailable) {
+// Guards against a refused or unanswered call that is taken for an empty store.
+TEST_F(StoreClientTest, List_StoreBusyOrUnresponsive_IsUnavailable) {
   this->store.Put(Member("a"));
   for (const StoreState state : {StoreState::kBusy, StoreState::kSilent}) {
     this->store.SetState(state);
@@ -129,8 +131,8 @@
   EXPECT_EQ(Names(this->List(&this->client)), (std::vector<std::string>{"a"}));
 }
 
-// Guards against two holders of one token.
-TEST_F(StoreClientTest, OlderRevision_WriteDuty_IsAConflictWithTheRecord) {
+// Guards against two daemons that hold the same fencing token.
+TEST_F(StoreClientTest, WriteDuty_OlderRevision_ReturnsConflictWithRecord) {
   const auto first = std::get<PromotionDuty>(
       this->WriteDuty({common::HostId("one"), true, 0}));
   const auto second = std::get<PromotionDuty>(
@@ -143,9 +145,9 @@
   EXPECT_EQ(conflict.duty.revision, second.revision);
 }
 
-// Guards against taking a change whose answer was lost for one that was made
-// under the caller's control, or for one that was not made.
-TEST_F(StoreClientTest, AnswerLost_WriteDuty_IsUnavailableThoughDone) {
+// Guards against treating a write whose response was lost as successful, or as
+// not made.
+TEST_F(StoreClientTest, WriteDuty_ResponseLost_IsUnavailableAlthoughWritten) {
   this->store.SetState(StoreState::kLosesAnswers);
   EXPECT_TRUE(std::holds_alternative<StoreUnavailable>(
       this->WriteDuty({common::HostId("one"), true, 0})));
@@ -155,9 +157,9 @@
   EXPECT_EQ(std::get<PromotionDuty>(read).holder.Value(), "one");
 }
 
-// Guards against a registration that costs more calls than it needs, at the
-// first start and at every restart, and against an old address that stays.
-TEST_F(StoreClientTest, RegisterHost_AgainAndMoved_CallsOnceUnlessChanged) {
+// Guards against unnecessary calls for a registration, at the first start and
+// at each restart, and against an outdated address that stays registered.
+TEST_F(StoreClientTest, RegisterHost_RepeatedAndMoved_CallsOnceUnlessChanged) {
   session::FleetHost host{common::HostId("host"), "127.0.0.1:7",
                           common::FailureDomainId("zone")};
   const auto register_host = [&] {
@@ -181,7 +183,7 @@
             "127.0.0.1:8");
 }
 
-TEST_F(StoreClientTest, TwoPages_List_CollectsBoth) {
+TEST_F(StoreClientTest, List_TwoPages_ReturnsBoth) {
   const std::string entry =
       R"({"meta":{"name":"NAME","rev":1},"spec":{"service":"s",)"
       R"("addr":"127.0.0.1:9","zone":"z","state":"ready","dbRole":"replica"}})";
@@ -197,12 +199,12 @@
                     this->store.Address());
   const auto listed = this->List(&paged);
   EXPECT_EQ(Names(listed), (std::vector<std::string>{"a", "b"}));
-  // Changes between the pages are found by watching from the first.
+  // Watching from the first page's revision finds changes between the pages.
   EXPECT_EQ(std::get<DirectoryChanges>(listed).revision, 7U);
 }
 
-// Guards against one entry of another writer that hides all others.
-TEST_F(StoreClientTest, BytesThatAreNoText_List_KeepsTheOtherEntries) {
+// Guards against one invalid entry of another writer that hides all others.
+TEST_F(StoreClientTest, List_InvalidUtf8InOneEntry_KeepsOtherEntries) {
   const auto server = this->ServeBodies(
       {{"",
         "{\"items\":[{\"meta\":{\"name\":\"bad\",\"rev\":1},"
@@ -216,7 +218,7 @@
             (std::vector<std::string>{"unreadable bad", "good"}));
 }
 
-TEST_F(StoreClientTest, NoJson_List_IsUnavailable) {
+TEST_F(StoreClientTest, List_BodyIsNotJson_IsUnavailable) {
   const auto server = this->ServeBodies({{"", "<html>"}});
   StoreClient garbled(&this->loop, {"127.0.0.1", server->Port()},
                       this->store.Address());
--- a/Source/UnitTests/Platform/test_clients.h
+++ b/Source/UnitTests/Platform/test_clients.h
@@ -17,7 +17,7 @@
 
 namespace camphorferry::platform {
 
-/// A client connection that collects the lines of one answer.
+/// Client connection that collects the lines of one response.
 class TestClient {
  public:
   TestClient(connection::EventLoop* loop, std::uint16_t port)
@@ -27,8 +27,9 @@
     session::StreamEvents events;
     events.message = [this](std::string_view line) {
       this->lines.emplace_back(line);
-      const bool refused_start = this->starting && line.starts_with("ERROR");
-      if (line.starts_with("READY") || refused_start) this->loop->Stop();
+      const bool startup_refused =
+          this->startup_pending && line.starts_with("ERROR");
+      if (line.starts_with("READY") || startup_refused) this->loop->Stop();
     };
     events.closed = [this] {
       this->closed = true;
@@ -37,13 +38,14 @@
     this->stream->Start(std::move(events));
   }
 
-  /// Sends a line and runs the loop until its answer is whole, the connection
-  /// ends, or the time is over.
+  /// Sends a line and runs the loop until the response is complete, the
+  /// connection is closed, or the time limit is reached. Returns the lines
+  /// received.
   std::vector<std::string> Ask(
       const std::string& line,
       common::Duration limit = std::chrono::seconds(5)) {
     this->lines.clear();
-    this->starting = line.starts_with("STARTUP");
+    this->startup_pending = line.starts_with("STARTUP");
     this->stream->Send(line + "\r\n");
     const auto timer = this->loop->After(limit, [this] { this->loop->Stop(); });
     this->loop->Run();
@@ -58,18 +60,18 @@
   connection::EventLoop* loop;
   std::shared_ptr<session::MessageStream> stream;
   std::vector<std::string> lines;
-  bool starting = false;
+  bool startup_pending = false;
 };
 
-/// A client in a thread of its own that leaves an answer unread for a while.
+/// Client that reads responses late, in a thread of its own.
 class SlowClient {
  public:
   explicit SlowClient(std::uint16_t port)
       : socket(::socket(AF_INET, SOCK_STREAM, 0)) {
-    // A small window keeps most of a long answer at the sender.
-    constexpr int kWindowBytes = 4096;
-    setsockopt(this->socket, SOL_SOCKET, SO_RCVBUF, &kWindowBytes,
-               sizeof(kWindowBytes));
+    // A small receive buffer keeps most of a large response at the sender.
+    constexpr int kReceiveBufferBytes = 4096;
+    setsockopt(this->socket, SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes,
+               sizeof(kReceiveBufferBytes));
     const timeval limit{2, 0};
     setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
     const sockaddr_in address =
@@ -91,7 +93,8 @@
               static_cast<ssize_t>(bytes.size()));
   }
 
-  /// Reads all that comes until the connection ends or is silent for 2 s.
+  /// After the pause, reads until the connection is closed or has sent nothing
+  /// for 2 s.
   void StartReadingAfter(std::chrono::milliseconds pause) {
     this->reader = std::thread([this, pause] {
       std::this_thread::sleep_for(pause);
@@ -105,7 +108,7 @@
     });
   }
 
-  /// All that was received; waits for the end of the connection.
+  /// Waits until reading has ended and returns all received bytes.
   const std::string& Received() {
     this->reader.join();
     return this->received;
--- a/Source/UnitTests/Platform/wire_format_test.cc
+++ b/Source/UnitTests/Platform/wire_format_test.cc
@@ -27,15 +27,15 @@
   WireFormat format;
 };
 
-TEST_F(WireFormatTest, Startup_DecodeClient_NamesDatabaseAndKey) {
+TEST_F(WireFormatTest, DecodeClient_Startup_ReadsDatabaseAndKey) {
   const auto message = this->format.DecodeClient("STARTUP lepu270 u3f1");
   const auto& open = std::get<session::OpenSession>(message);
   EXPECT_EQ(open.database, "lepu270");
   EXPECT_EQ(open.key, "u3f1");
 }
 
-// Guards against a statement whose text reaches an endpoint changed.
-TEST_F(WireFormatTest, Read_EncodeStatement_KeepsTheText) {
+// Guards against a statement whose text is changed on its way to an endpoint.
+TEST_F(WireFormatTest, EncodeStatement_Read_KeepsText) {
   const Statement statement = this->Decode("QUERY 5c0e READ 1a4");
   EXPECT_EQ(statement.kind, StatementKind::kRead);
   EXPECT_EQ(this->format.EncodeStatement(statement, std::nullopt),
@@ -45,22 +45,22 @@
       "QUERY 5c0e AFTER 3.1207 READ 1a4\r\n");
 }
 
-TEST_F(WireFormatTest, Execute_EncodeExecute_ChangesOnlyTheName) {
+TEST_F(WireFormatTest, EncodeExecute_Execute_ChangesOnlyStatementName) {
   const Statement statement = this->Decode("QUERY 7 EXECUTE s1 1a4 xk qp");
   EXPECT_EQ(statement.name, "s1");
   EXPECT_EQ(this->format.EncodeExecute(statement, "p9", std::nullopt),
             "QUERY 7 EXECUTE p9 1a4 xk qp\r\n");
 }
 
-TEST_F(WireFormatTest, Prepare_DecodeClient_ReadsAccessAndShape) {
+TEST_F(WireFormatTest, DecodeClient_Prepare_ReadsAccessAndShape) {
   const Statement statement = this->Decode("QUERY 7 PREPARE s1 WRITE q2c");
   EXPECT_EQ(statement.kind, StatementKind::kPrepare);
   EXPECT_EQ(statement.prepared.access, session::AccessKind::kWrite);
   EXPECT_EQ(statement.prepared.shape, "q2c");
 }
 
-// Guards against clients that use commands which belong to the proxy.
-TEST_F(WireFormatTest, CommandsOfTheProxy_DecodeClient_AreUnreadable) {
+// Guards against clients that use commands reserved for the proxy.
+TEST_F(WireFormatTest, DecodeClient_ProxyCommands_AreUnreadable) {
   EXPECT_TRUE(this->Unreadable("QUERY 7 STATUS"));
   EXPECT_TRUE(this->Unreadable("QUERY 7 AFTER 1.1 READ x"));
   EXPECT_TRUE(this->Unreadable("QUERY 7 PAUSE 9"));
@@ -68,13 +68,13 @@
   EXPECT_TRUE(this->Unreadable("QUERY - READ x"));
 }
 
-// Guards against a second statement that is hidden inside the first.
-TEST_F(WireFormatTest, LineBreakInside_DecodeClient_IsUnreadable) {
+// Guards against statement injection through a line break.
+TEST_F(WireFormatTest, DecodeClient_EmbeddedLineBreak_IsUnreadable) {
   EXPECT_TRUE(this->Unreadable("QUERY 7 WRITE a b\nQUERY 8 WRITE c d"));
   EXPECT_TRUE(this->Unreadable("QUERY 7 WRITE a b\rQUERY 8 WRITE c d"));
 }
 
-TEST_F(WireFormatTest, Status_DecodeStatus_ReadsTheHeldTerm) {
+TEST_F(WireFormatTest, DecodeStatus_Replica_ReadsHeldTerm) {
   const auto status = this->format.DecodeStatus("replica 3 3.1209 4 12 2 17");
   ASSERT_TRUE(status.has_value());
   EXPECT_EQ(status->role, session::GroupRole::kReplica);
@@ -84,7 +84,7 @@
   EXPECT_FALSE(this->format.DecodeStatus("replica x").has_value());
 }
 
-TEST_F(WireFormatTest, EndpointMessages_DecodeEndpoint_AreRead) {
+TEST_F(WireFormatTest, DecodeEndpoint_ValidAndInvalidMessages_AreRecognized) {
   const auto error = this->format.DecodeEndpoint("ERROR READONLY i-7f");
   EXPECT_EQ(std::get<session::EndpointError>(error).code, Refusal::kReadOnly);
   const auto ready = this->format.DecodeEndpoint("READY T 3.1209");
@@ -94,8 +94,8 @@
   EXPECT_TRUE(std::holds_alternative<session::EndpointUnreadable>(odd));
 }
 
-// Guards against input that ends the process.
-RC_GTEST_PROP(WireFormatPropertyTest, AnyBytes_Decode_NeverThrows,
+// Guards against input that crashes the process.
+RC_GTEST_PROP(WireFormatPropertyTest, Decode_AnyBytes_NeverThrows,
               (const std::string& bytes)) {
   const WireFormat format;
   (void)format.DecodeClient(bytes);
