--- a/Source/Core/Common/clock.h
+++ b/Source/Core/Common/clock.h
@@ -7,9 +7,10 @@
 
 namespace camphorferry::common {
 
-/// Present monotonic time. It goes on while the host is suspended, unlike the
-/// standard steady clock, so that a lease or a proof which has aged meanwhile
-/// is noticed. For tasks only: decision classes get the time as an argument.
+/// Current monotonic time. Unlike std::chrono::steady_clock, it includes the
+/// time during which the host is suspended, so that a lease or proof that has
+/// expired meanwhile is detected. Only for tasks, which run on the event loop;
+/// classes that make decisions without I/O take the time as a parameter.
 inline SteadyTime SteadyNow() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
@@ -17,7 +18,7 @@
                     std::chrono::nanoseconds(now.tv_nsec));
 }
 
-/// Present wall clock time, for tasks only.
+/// Current wall clock time; only for tasks, like SteadyNow.
 inline WallTime WallNow() { return std::chrono::system_clock::now(); }
 
 }  // namespace camphorferry::common
--- a/Source/Core/Common/common.h
+++ b/Source/Core/Common/common.h
@@ -1,8 +1,8 @@
 #ifndef CAMPHORFERRY_COMMON_COMMON_H_
 #define CAMPHORFERRY_COMMON_COMMON_H_
 
-/// Public header of the Common library: time, identifiers, errors, clocks,
-/// hashes and logs that all other libraries use.
+/// Public header of the Common library, which all other libraries use: time,
+/// clocks, identifiers, errors, hashes, validation of names and logging.
 
 #include "Common/clock.h"
 #include "Common/digest.h"
--- a/Source/Core/Common/digest.cc
+++ b/Source/Core/Common/digest.cc
@@ -69,8 +69,8 @@
   data->clear();
   std::uint32_t buffer = 0;
   int bits = 0;
-  for (const char letter : text) {
-    const std::size_t value = kBase64UrlAlphabet.find(letter);
+  for (const char character : text) {
+    const std::size_t value = kBase64UrlAlphabet.find(character);
     if (value == std::string_view::npos) return false;
     buffer = (buffer << 6) | static_cast<std::uint32_t>(value);
     bits += 6;
@@ -79,7 +79,8 @@
       data->push_back(static_cast<char>((buffer >> bits) & 0xff));
     }
   }
-  // Leftover bits must be zero, so that each value has one encoding only.
+  // Unused trailing bits must be zero, so that each value has exactly one
+  // encoding.
   const std::uint32_t rest = buffer & ((1U << bits) - 1U);
   return bits < 6 && rest == 0;
 }
--- a/Source/Core/Common/digest.h
+++ b/Source/Core/Common/digest.h
@@ -12,7 +12,8 @@
 /// HMAC-SHA256 of the data as 32 raw bytes.
 std::string HmacSha256(std::string_view secret, std::string_view data);
 
-/// Compares without revealing through timing where two texts differ.
+/// Compares two texts in constant time, so that the timing does not reveal
+/// where they differ. Texts of different lengths are unequal at once.
 bool EqualConstantTime(std::string_view left, std::string_view right);
 
 /// Base64url without padding (RFC 4648, section 5).
--- a/Source/Core/Common/error.h
+++ b/Source/Core/Common/error.h
@@ -6,8 +6,9 @@
 
 namespace camphorferry::common {
 
-/// Base of all exceptions of this project. Each failure has a class of its own
-/// with typed fields; the message is for people only.
+/// Base class of all exceptions of this project. Each kind of failure has its
+/// own class with typed fields. The message is for display only and is not
+/// parsed.
 class Error : public std::runtime_error {
  protected:
   explicit Error(const std::string& message) : std::runtime_error(message) {}
--- a/Source/Core/Common/fault_list.cc
+++ b/Source/Core/Common/fault_list.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// In the order in which people find the entries in the files.
-FaultList SortByPlace(FaultList faults) {
+/// Sorts the faults by file and line.
+FaultList SortByLocation(FaultList faults) {
   std::stable_sort(faults.begin(), faults.end(),
                    [](const Fault& left, const Fault& right) {
                      return std::tie(left.file, left.line) <
@@ -65,7 +65,7 @@
 }
 
 FaultListError::FaultListError(FaultList faults)
-    : Error(JoinLines(SortByPlace(faults))),
-      faults(SortByPlace(std::move(faults))) {}
+    : Error(JoinLines(SortByLocation(faults))),
+      faults(SortByLocation(std::move(faults))) {}
 
 }  // namespace camphorferry::common
--- a/Source/Core/Common/fault_list.h
+++ b/Source/Core/Common/fault_list.h
@@ -10,7 +10,7 @@
 
 namespace camphorferry::common {
 
-/// What is wrong with an entry of a file that people write.
+/// Kind of fault that validation finds in a configuration file.
 enum class FaultKind {
   kUnreadableFile,
   kSyntax,
@@ -23,14 +23,14 @@
   kContradiction,
 };
 
-/// Name of a fault kind, as in messages and JSON.
+/// Name of a fault kind, as used in messages and JSON.
 std::string_view ToString(FaultKind kind);
 
-/// One fault of one file.
+/// One validation fault in one file.
 struct Fault {
   FaultKind kind = FaultKind::kSyntax;
   std::string file;
-  /// Line of the entry; 0 if the fault has no place in the file.
+  /// Line of the entry; 0 if the fault has no position in the file.
   std::uint32_t line = 0;
   /// Dotted name of the entry, such as "listen.clients".
   std::string key;
@@ -42,11 +42,12 @@
 
 using FaultList = std::vector<Fault>;
 
-/// One line: file, line, key, kind, what was found and what is allowed.
+/// Formats a fault as one line of text: file, line number, key, kind, what was
+/// found and what is allowed.
 std::string ToText(const Fault& fault);
 
-/// Files have faults; all of them are reported at once, so that people need not
-/// repair and try again for each.
+/// Files are invalid. All faults are reported together, so that an operator can
+/// correct them in one pass. The message lists them one a line.
 class FaultListError : public Error {
  public:
   explicit FaultListError(FaultList faults);
--- a/Source/Core/Common/hybrid_clock.cc
+++ b/Source/Core/Common/hybrid_clock.cc
@@ -25,8 +25,8 @@
   this->last = std::max(this->last, received);
 }
 
-WallTime WallPart(HybridTime reading) {
-  return WallTime(std::chrono::microseconds(reading >> kCounterBits));
+WallTime WallPart(HybridTime timestamp) {
+  return WallTime(std::chrono::microseconds(timestamp >> kCounterBits));
 }
 
 }  // namespace camphorferry::common
--- a/Source/Core/Common/hybrid_clock.h
+++ b/Source/Core/Common/hybrid_clock.h
@@ -7,28 +7,28 @@
 
 namespace camphorferry::common {
 
-/// Reading of a hybrid logical clock: wall clock microseconds in the upper 52
-/// bits, which lasts until the year 2112, and a counter in the lower 12 bits,
-/// so that readings sort as integers.
+/// Timestamp of a hybrid logical clock: microseconds since the Unix epoch in
+/// the upper 52 bits, which suffices until the year 2112, and a logical counter
+/// in the lower 12 bits. Timestamps compare as integers.
 using HybridTime = std::uint64_t;
 
-/// Hybrid logical clock. Every message carries a reading, and the receiver's
-/// later readings are greater, so sorting by reading puts causes before
-/// effects although the hosts' wall clocks differ.
+/// Hybrid logical clock. Every message carries a timestamp, and later
+/// timestamps of the receiver are greater. Sorting by timestamp therefore puts
+/// causes before effects, even if the wall clocks of the hosts differ.
 class HybridClock {
  public:
-  /// Reading for a local event or for a message to be sent.
+  /// Returns the timestamp for a local event or an outgoing message.
   HybridTime Now(WallTime wall);
 
-  /// Merges a reading that arrived with a message.
+  /// Merges the timestamp of a received message.
   void Observe(HybridTime received);
 
  private:
   HybridTime last = 0;
 };
 
-/// Wall clock part of a reading.
-WallTime WallPart(HybridTime reading);
+/// Wall clock part of a timestamp.
+WallTime WallPart(HybridTime timestamp);
 
 }  // namespace camphorferry::common
 
--- a/Source/Core/Common/ids.h
+++ b/Source/Core/Common/ids.h
@@ -9,7 +9,7 @@
 
 namespace camphorferry::common {
 
-/// Identifier of one kind of object; identifiers of different kinds do not
+/// Strongly typed identifier. Identifiers of different kinds of objects do not
 /// convert into each other.
 template <typename Tag>
 class Id {
@@ -17,10 +17,10 @@
   Id() = default;
   explicit Id(std::string value) : value(std::move(value)) {}
 
-  /// Text of the identifier.
+  /// The identifier as text.
   const std::string& Value() const { return this->value; }
 
-  /// True if no identifier was set.
+  /// True if no identifier is set.
   bool Empty() const { return this->value.empty(); }
 
   auto operator<=>(const Id&) const = default;
@@ -42,11 +42,13 @@
 /// Replication term of a database group.
 using Term = std::uint64_t;
 
-/// Index of an entry in a database's log; the first entry has index 1.
+/// Index of an entry in a database's replication log; the first entry has
+/// index 1.
 using LogIndex = std::uint64_t;
 
-/// Position in a database group's log. Positions compare by term first, since
-/// an entry of a later term follows every acknowledged entry of earlier terms.
+/// Position in the replication log of a database group. Positions compare by
+/// term first, since an entry of a later term follows every acknowledged entry
+/// of earlier terms.
 struct LogPosition {
   Term term = 0;
   LogIndex index = 0;
--- a/Source/Core/Common/log.cc
+++ b/Source/Core/Common/log.cc
@@ -54,8 +54,8 @@
 
 bool NeedsQuotes(std::string_view value) {
   if (value.empty()) return true;
-  for (const char letter : value) {
-    const auto byte = static_cast<unsigned char>(letter);
+  for (const char character : value) {
+    const auto byte = static_cast<unsigned char>(character);
     if (byte <= ' ' || byte == '"' || byte == '=' || byte == 0x7f) return true;
   }
   return false;
@@ -63,33 +63,35 @@
 
 void AppendQuoted(std::string_view value, std::string* line) {
   line->push_back('"');
-  for (const char letter : value) {
-    const auto byte = static_cast<unsigned char>(letter);
-    if (letter == '"' || letter == '\\') line->push_back('\\');
-    // A control character could start a forged line.
-    line->push_back(byte < ' ' || byte == 0x7f ? '?' : letter);
+  for (const char character : value) {
+    const auto byte = static_cast<unsigned char>(character);
+    if (character == '"' || character == '\\') line->push_back('\\');
+    // Control characters are replaced, since a line break could forge a log
+    // line.
+    line->push_back(byte < ' ' || byte == 0x7f ? '?' : character);
   }
   line->push_back('"');
 }
 
-/// Appender that drops lines rather than wait.
-class BoundedAppender : public log4cplus::Appender {
+/// Appender with a rate limit (token bucket). It drops a line rather than block
+/// on a full pipe.
+class RateLimitedAppender : public log4cplus::Appender {
  public:
-  explicit BoundedAppender(const LogBudget& budget)
-      : budget(budget), level(budget.burst), filled(SteadyNow()) {}
-  ~BoundedAppender() override { this->destructorImpl(); }
+  explicit RateLimitedAppender(const LogRateLimit& limit)
+      : limit(limit), tokens(limit.burst), refilled(SteadyNow()) {}
+  ~RateLimitedAppender() override { this->destructorImpl(); }
 
   void close() override { this->closed = true; }
 
  protected:
   void append(const log4cplus::spi::InternalLoggingEvent& event) override {
     const SteadyTime now = SteadyNow();
-    const std::chrono::duration<double> passed = now - this->filled;
-    this->filled = now;
-    this->level =
-        std::min(this->budget.burst,
-                 this->level + passed.count() * this->budget.lines_per_second);
-    if (this->level < 1) {
+    const std::chrono::duration<double> elapsed = now - this->refilled;
+    this->refilled = now;
+    this->tokens =
+        std::min(this->limit.burst,
+                 this->tokens + elapsed.count() * this->limit.lines_per_second);
+    if (this->tokens < 1) {
       ++this->dropped;
       return;
     }
@@ -100,24 +102,25 @@
       text += "event=log_lines_dropped count=" + std::to_string(this->dropped) +
               "\n";
     }
-    // A pipe that is ready takes this many bytes without waiting.
-    constexpr std::size_t kAtomicBytes = 4096;
+    // A pipe that poll reports as writable accepts this many bytes (PIPE_BUF)
+    // without blocking.
+    constexpr std::size_t kNonBlockingWriteBytes = 4096;
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
-    const bool writable = text.size() <= kAtomicBytes &&
+    const bool writable = text.size() <= kNonBlockingWriteBytes &&
                           poll(&output, 1, 0) == 1 &&
                           (output.revents & POLLOUT) != 0;
     if (!writable || write(STDOUT_FILENO, text.data(), text.size()) < 0) {
       ++this->dropped;
       return;
     }
-    this->level -= 1;
+    this->tokens -= 1;
     this->dropped = 0;
   }
 
  private:
-  LogBudget budget;
-  double level;
-  SteadyTime filled;
+  LogRateLimit limit;
+  double tokens;
+  SteadyTime refilled;
   std::uint64_t dropped = 0;
 };
 
@@ -139,8 +142,9 @@
                   /*logToStdErr=*/true, /*immediateFlush=*/true)));
 }
 
-void InitializeBoundedLogging(LogLevel level, const LogBudget& budget) {
-  UseAppender(level, log4cplus::SharedAppenderPtr(new BoundedAppender(budget)));
+void InitializeRateLimitedLogging(LogLevel level, const LogRateLimit& limit) {
+  UseAppender(level,
+              log4cplus::SharedAppenderPtr(new RateLimitedAppender(limit)));
 }
 
 void SetLogLevel(Subsystem subsystem, LogLevel level) {
--- a/Source/Core/Common/log.h
+++ b/Source/Core/Common/log.h
@@ -10,7 +10,7 @@
 
 namespace camphorferry::common {
 
-/// Library that a log line comes from; each has its own level.
+/// Part of the program that a log line comes from; each has its own log level.
 enum class Subsystem { kCommon, kRequest, kConnection, kVersion, kProcess };
 
 /// Severity of a log line.
@@ -32,21 +32,21 @@
   std::string value;
 };
 
-/// Starts logging to standard error with one level for all subsystems.
+/// Starts logging to standard error, with the same level for all subsystems.
 void InitializeLogging(LogLevel level);
 
-/// Bound on the lines of a process.
-struct LogBudget {
-  /// Lines a second in the long run.
+/// Rate limit of the log lines of a process.
+struct LogRateLimit {
+  /// Sustained rate in lines per second.
   double lines_per_second = 0;
-  /// Lines that may come at once.
+  /// Number of lines that may be logged at once.
   double burst = 0;
 };
 
-/// Starts logging to standard output without ever waiting for its reader: lines
-/// beyond the budget, or that the reader has left no room for, are dropped and
-/// counted in a later line.
-void InitializeBoundedLogging(LogLevel level, const LogBudget& budget);
+/// Starts logging to standard output without ever blocking on its reader. Lines
+/// above the rate limit, or for which the pipe has no room, are dropped, and a
+/// later line reports their number.
+void InitializeRateLimitedLogging(LogLevel level, const LogRateLimit& limit);
 
 /// Sets the level of one subsystem.
 void SetLogLevel(Subsystem subsystem, LogLevel level);
@@ -56,7 +56,7 @@
 void Log(Subsystem subsystem, LogLevel level, std::string_view event,
          std::initializer_list<LogField> fields);
 
-/// The line that Log writes, without time stamp and level.
+/// Formats the line that Log writes, without timestamp, level and subsystem.
 std::string FormatLogLine(std::string_view event,
                           std::initializer_list<LogField> fields);
 
--- a/Source/Core/Common/rendezvous.h
+++ b/Source/Core/Common/rendezvous.h
@@ -11,16 +11,16 @@
 
 namespace camphorferry::common {
 
-/// Rendezvous (highest random weight) score of a host for a key. Stable across
-/// processes and builds.
+/// Score of a host for a key in rendezvous hashing (highest random weight). The
+/// score is the same in all processes and builds.
 std::uint64_t RendezvousScore(std::string_view key, const HostId& host);
 
-/// Hosts in descending order of their score for the key. The removal of a host
-/// moves only the keys that it was first for.
+/// Hosts in descending order of their score for the key. Removing a host moves
+/// only the keys for which it was first.
 std::vector<HostId> RendezvousOrder(std::string_view key,
                                     std::vector<HostId> hosts);
 
-/// The first in the order of RendezvousOrder, without ordering the others; none
+/// The first host in the order of RendezvousOrder, found without sorting; none
 /// if there are no hosts.
 std::optional<HostId> RendezvousFirst(std::string_view key,
                                       const std::vector<HostId>& hosts);
--- a/Source/Core/Common/text_rules.cc
+++ b/Source/Core/Common/text_rules.cc
@@ -13,14 +13,16 @@
 
 constexpr std::size_t kSha256HexLength = 64;
 
-bool IsNameLetter(char letter) {
-  return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-         (letter >= '0' && letter <= '9') || letter == '-' || letter == '_' ||
-         letter == '.';
+bool IsNameCharacter(char character) {
+  return (character >= 'a' && character <= 'z') ||
+         (character >= 'A' && character <= 'Z') ||
+         (character >= '0' && character <= '9') || character == '-' ||
+         character == '_' || character == '.';
 }
 
-bool IsHexDigit(char letter) {
-  return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'f');
+bool IsHexDigit(char character) {
+  return (character >= '0' && character <= '9') ||
+         (character >= 'a' && character <= 'f');
 }
 
 bool IsPort(std::string_view text) {
@@ -34,14 +36,14 @@
 
 bool IsName(std::string_view text) {
   if (text.empty() || text.size() > kMaxNameLength) return false;
-  return std::all_of(text.begin(), text.end(), IsNameLetter);
+  return std::all_of(text.begin(), text.end(), IsNameCharacter);
 }
 
 bool IsIpAndPort(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return false;
   const std::string ip(text.substr(0, colon));
-  // The C function stops at a zero byte, which must not hide what follows.
+  // inet_pton stops at a NUL byte and would ignore the text after it.
   if (ip.find('\0') != std::string::npos) return false;
   in_addr parsed{};
   if (inet_pton(AF_INET, ip.c_str(), &parsed) != 1) return false;
--- a/Source/Core/Common/text_rules.h
+++ b/Source/Core/Common/text_rules.h
@@ -6,17 +6,17 @@
 
 namespace camphorferry::common {
 
-/// Longest name of an object or host. Names appear in every log line about the
-/// object.
+/// Maximum length of the name of an object or host, in characters. Names are
+/// limited because they appear in every log line about the object.
 inline constexpr std::size_t kMaxNameLength = 64;
 
-/// What IsName accepts, for messages to people.
+/// Description of what IsName accepts, for error messages.
 inline constexpr std::string_view kNameRule =
     "1 to 64 letters, digits, '-', '_' or '.'";
-/// What IsIpAndPort accepts, for messages to people.
+/// Description of what IsIpAndPort accepts, for error messages.
 inline constexpr std::string_view kIpAndPortRule =
     "IP:PORT with a numeric IPv4 address";
-/// What IsSha256Hex accepts, for messages to people.
+/// Description of what IsSha256Hex accepts, for error messages.
 inline constexpr std::string_view kSha256HexRule =
     "64 lower-case hexadecimal digits";
 
@@ -24,11 +24,11 @@
 /// quoting in logs, paths and JSON.
 bool IsName(std::string_view text);
 
-/// True for IP:PORT with a numeric IPv4 address. Names are not accepted, since
-/// processes resolve none.
+/// True for IP:PORT with a numeric IPv4 address. Host names are not accepted,
+/// since the processes do not resolve names.
 bool IsIpAndPort(std::string_view text);
 
-/// True for 64 lower-case hexadecimal digits, the form of Sha256Hex.
+/// True for 64 lower-case hexadecimal digits, as Sha256Hex returns them.
 bool IsSha256Hex(std::string_view text);
 
 }  // namespace camphorferry::common
--- a/Source/Core/Common/time.h
+++ b/Source/Core/Common/time.h
@@ -5,13 +5,13 @@
 
 namespace camphorferry::common {
 
-/// Monotonic time of one process; never compared between hosts.
+/// Monotonic time within one process; never compared between hosts.
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// Wall clock time, used only for key ages and for display.
+/// Wall clock time, used only for the age of keys and for display.
 using WallTime = std::chrono::system_clock::time_point;
 
-/// Length of time in every signature.
+/// Length of time; the type of durations in all interfaces.
 using Duration = std::chrono::nanoseconds;
 
 /// Whole milliseconds of a duration, rounded down.
--- a/Source/Core/Common/toml_reader.cc
+++ b/Source/Core/Common/toml_reader.cc
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr std::size_t kReadBufferBytes = 16 * 1024;
 
-constexpr std::string_view kText = "a text";
+constexpr std::string_view kString = "a string";
 constexpr std::string_view kInteger = "an integer";
 constexpr std::string_view kBoolean = "true or false";
 constexpr std::string_view kTable = "a table";
-constexpr std::string_view kListOfTexts = "a list of texts";
+constexpr std::string_view kListOfStrings = "a list of strings";
 constexpr std::string_view kListOfTables = "a list of tables";
 
 std::string_view TypeName(const toml::node& node) {
   switch (node.type()) {
     case toml::node_type::string:
-      return kText;
+      return kString;
     case toml::node_type::integer:
       return kInteger;
     case toml::node_type::floating_point:
@@ -41,21 +41,21 @@
   return "'" + std::string(text) + "'";
 }
 
-std::string FoundText(std::string_view text, const TextRule& rule) {
+std::string DescribeFound(std::string_view text, const TextRule& rule) {
   if (!rule.secret) return Quoted(text);
   return "a secret of " + std::to_string(text.size()) + " characters";
 }
 
-/// Replaces everything between quotes.
-std::string HideQuoted(std::string_view description) {
+/// Replaces the text between single quotes, which may be a secret.
+std::string RedactQuoted(std::string_view description) {
   std::string text;
   bool quoted = false;
-  for (const char letter : description) {
-    if (letter == '\'') {
+  for (const char character : description) {
+    if (character == '\'') {
       text += quoted ? "...'" : "'";
       quoted = !quoted;
     } else if (!quoted) {
-      text.push_back(letter);
+      text.push_back(character);
     }
   }
   return text;
@@ -81,11 +81,11 @@
   if (node == nullptr) return std::string(fallback.value_or(""));
   const auto* text = node->as_string();
   if (text == nullptr) {
-    this->ReportType(key, *node, kText);
+    this->ReportType(key, *node, kString);
     return "";
   }
   if (!rule.accepts(text->get())) {
-    this->Report(FaultKind::kNotAllowed, key, FoundText(text->get(), rule),
+    this->Report(FaultKind::kNotAllowed, key, DescribeFound(text->get(), rule),
                  std::string(rule.allowed));
     return "";
   }
@@ -127,24 +127,24 @@
 std::vector<std::string> TomlTable::Texts(std::string_view key,
                                           const TextRule& rule, bool required) {
   std::vector<std::string> texts;
-  const toml::node* node = this->FindRequired(key, !required, kListOfTexts);
+  const toml::node* node = this->FindRequired(key, !required, kListOfStrings);
   if (node == nullptr) return texts;
   const toml::array* list = node->as_array();
   if (list == nullptr) {
-    this->ReportType(key, *node, kListOfTexts);
+    this->ReportType(key, *node, kListOfStrings);
     return texts;
   }
   if (required && list->empty()) {
     this->Report(FaultKind::kMissingKey, key, "an empty list",
-                 std::string(kListOfTexts));
+                 std::string(kListOfStrings));
   }
   for (const toml::node& entry : *list) {
     const auto* text = entry.as_string();
     if (text == nullptr) {
-      this->ReportType(key, entry, kListOfTexts);
+      this->ReportType(key, entry, kListOfStrings);
     } else if (!rule.accepts(text->get())) {
-      this->Report(FaultKind::kNotAllowed, key, FoundText(text->get(), rule),
-                   std::string(rule.allowed));
+      this->Report(FaultKind::kNotAllowed, key,
+                   DescribeFound(text->get(), rule), std::string(rule.allowed));
     } else {
       texts.push_back(text->get());
     }
@@ -175,13 +175,13 @@
   std::size_t index = 0;
   for (const toml::node& entry : *list) {
     const toml::table* inner = entry.as_table();
-    const std::string place =
+    const std::string element_path =
         this->PathOf(key) + "[" + std::to_string(index) + "]";
     ++index;
     if (inner == nullptr) {
       this->ReportType(key, entry, kListOfTables);
     } else {
-      tables.emplace_back(inner, this->file, place, this->faults);
+      tables.emplace_back(inner, this->file, element_path, this->faults);
     }
   }
   return tables;
@@ -201,12 +201,13 @@
 
 void TomlTable::ReportUnknownKeys() {
   std::string allowed;
-  for (const std::string& name : this->known) {
+  for (const std::string& name : this->requested_keys) {
     allowed += (allowed.empty() ? "" : ", ") + name;
   }
   for (const auto& [name, node] : *this->table) {
-    if (this->known.contains(name.str())) continue;
-    // The value is not shown, since it may be a secret under a mistyped key.
+    if (this->requested_keys.contains(name.str())) continue;
+    // Reports the type instead of the value, which may be a secret under a
+    // misspelled key.
     this->Report(FaultKind::kUnknownKey, name.str(),
                  std::string(TypeName(node)), allowed);
   }
@@ -226,7 +227,7 @@
 }
 
 const toml::node* TomlTable::Find(std::string_view key) {
-  this->known.emplace(key);
+  this->requested_keys.emplace(key);
   return this->table->get(key);
 }
 
@@ -256,12 +257,12 @@
                                     FaultList* faults) {
   std::ifstream stream(file, std::ios::binary);
   std::string content;
-  std::array<char, kReadBytes> buffer{};
+  std::array<char, kReadBufferBytes> buffer{};
   while (stream.good()) {
     stream.read(buffer.data(), buffer.size());
     content.append(buffer.data(), static_cast<std::size_t>(stream.gcount()));
   }
-  // A directory opens like a file and fails when it is read.
+  // Opening a directory succeeds; reading from it fails.
   if (!stream.is_open() || stream.bad()) {
     const std::error_code reason(errno, std::generic_category());
     faults->push_back(Fault{FaultKind::kUnreadableFile, file.string(), 0, "",
@@ -278,7 +279,8 @@
     return toml::parse(text, file);
   } catch (const toml::parse_error& error) {
     faults->push_back(Fault{FaultKind::kSyntax, file, error.source().begin.line,
-                            "", HideQuoted(error.description()), "valid TOML"});
+                            "", RedactQuoted(error.description()),
+                            "valid TOML"});
     return std::nullopt;
   }
 }
--- a/Source/Core/Common/toml_reader.h
+++ b/Source/Core/Common/toml_reader.h
@@ -16,55 +16,59 @@
 
 namespace camphorferry::common {
 
-/// What a text entry accepts.
+/// Validation rule for a string entry.
 struct TextRule {
   bool (*accepts)(std::string_view text);
+  /// Description of the accepted texts, for faults.
   std::string_view allowed;
-  /// A secret's value never appears in a fault.
+  /// If true, the value never appears in a fault.
   bool secret = false;
 };
 
-/// What an integer entry accepts.
+/// Validation rule for an integer entry; both limits are inclusive.
 struct IntegerRule {
   std::int64_t smallest;
   std::int64_t largest;
 };
 
-/// Reads the entries of one TOML table and adds a fault for each entry that is
-/// not as the rules say. A faulty entry reads as an empty value; the caller
-/// goes on and finds the other faults, and must not use the result if there are
-/// any.
+/// Reads the entries of one TOML table and adds a fault for each entry that
+/// violates its rule. An invalid entry is returned as an empty value, so that
+/// the caller can continue and find the remaining faults. The values must not
+/// be used if there are any faults.
 class TomlTable {
  public:
-  /// The path is the table's dotted name; empty for a file's root. Table and
-  /// fault list must outlive the reader.
+  /// The path is the dotted name of the table, empty for the root of a file.
+  /// The table and the fault list must outlive this object.
   TomlTable(const toml::table* table, std::string file, std::string path,
             FaultList* faults);
 
+  /// True if the table has an entry with this key.
   bool Has(std::string_view key) const;
 
-  /// An entry without a fallback is required.
+  /// Reads an entry. It is required if no fallback is given.
   std::string Text(std::string_view key, const TextRule& rule,
                    std::optional<std::string_view> fallback = std::nullopt);
   std::int64_t Integer(std::string_view key, const IntegerRule& rule,
                        std::optional<std::int64_t> fallback = std::nullopt);
   bool Boolean(std::string_view key, std::optional<bool> fallback);
-  /// A list of texts. If it is required, it must be there and not be empty.
+  /// Reads a list of strings. A required list must be present and not empty.
   std::vector<std::string> Texts(std::string_view key, const TextRule& rule,
                                  bool required);
 
-  /// A table that may be absent.
+  /// Reads a table; none if it is absent.
   std::optional<TomlTable> Table(std::string_view key);
-  /// A list of tables; an absent one is empty.
+  /// Reads a list of tables; empty if it is absent.
   std::vector<TomlTable> Tables(std::string_view key);
-  /// The tables of a table, such as each [workspace.NAME], with their names.
+  /// Reads the tables inside a table, such as [workspace.NAME], with their
+  /// names.
   std::vector<std::pair<std::string, TomlTable>> NamedTables(
       std::string_view key);
 
-  /// Adds a fault for each entry that was never asked for.
+  /// Adds a fault for each entry that none of the other methods has read.
   void ReportUnknownKeys();
 
-  /// Adds a fault at an entry, or at the table if the entry is absent.
+  /// Adds a fault for an entry. Its line is that of the table if the entry is
+  /// absent.
   void Report(FaultKind kind, std::string_view key, std::string found,
               std::string allowed);
 
@@ -85,15 +89,16 @@
   std::string file;
   std::string path;
   FaultList* faults;
-  std::set<std::string, std::less<>> known;
+  /// Keys that were read, whether present or not.
+  std::set<std::string, std::less<>> requested_keys;
 };
 
 /// Reads a whole file; adds a fault if it cannot be read.
 std::optional<std::string> ReadFile(const std::filesystem::path& file,
                                     FaultList* faults);
 
-/// Parses TOML; adds a fault if the syntax is wrong. The fault quotes nothing
-/// from the text, which may hold secrets.
+/// Parses TOML; adds a fault if the syntax is invalid. The fault quotes nothing
+/// from the text, which may contain secrets.
 std::optional<toml::table> ParseToml(const std::string& text,
                                      const std::string& file,
                                      FaultList* faults);
--- a/Source/UnitTests/Core/Common/hybrid_clock_test.cc
+++ b/Source/UnitTests/Core/Common/hybrid_clock_test.cc
@@ -7,9 +7,9 @@
 namespace camphorferry::common {
 namespace {
 
-// Guards against a time line that shows an effect before its cause when the
+// Guards against a timeline that shows an effect before its cause because the
 // receiver's wall clock is behind or steps backwards.
-RC_GTEST_PROP(HybridClockTest, ReceivedReading_NextNow_IsGreater,
+RC_GTEST_PROP(HybridClockTest, Now_AfterReceivedTimestamp_IsGreater,
               (std::uint32_t sender_wall, std::uint32_t receiver_wall)) {
   HybridClock sender;
   HybridClock receiver;
@@ -21,8 +21,8 @@
   RC_ASSERT(received > sent);
 }
 
-// Guards against readings that overflow and show another date.
-TEST(HybridClockTest, DateOfToday_WallPart_IsKept) {
+// Guards against timestamps that overflow and show a wrong date.
+TEST(HybridClockTest, WallPart_PresentDate_IsPreserved) {
   const WallTime wall = WallTime(std::chrono::seconds(1'796'369'000));
   HybridClock clock;
   EXPECT_EQ(WallPart(clock.Now(wall)), wall);
