--- a/Source/UnitTests/Platform/documents_test.cc
+++ b/Source/UnitTests/Platform/documents_test.cc
@@ -99,13 +99,13 @@
             std::chrono::milliseconds(2000));
 }
 
-// Guards against a renewal of the duty record that the store ignores because
-// nothing in it has changed.
-TEST_F(DocumentsTest, EncodeDuty_Renewal_Differs) {
-  session::PromotionDuty duty{common::HostId("h"), true, 4};
-  const json before = EncodeDuty(duty);
-  duty.revision = 5;
-  EXPECT_NE(before, EncodeDuty(duty));
+// Guards against a renewal of the promotion lease that the store ignores
+// because nothing in it has changed.
+TEST_F(DocumentsTest, EncodeLeaseRecord_Renewal_Differs) {
+  session::PromotionDuty record{common::HostId("h"), true, 4};
+  const json before = EncodeLeaseRecord(record);
+  record.revision = 5;
+  EXPECT_NE(before, EncodeLeaseRecord(record));
 }
 
 // Guards against fakes whose documents do not match what the decoders read:
--- a/Source/UnitTests/Platform/promotion_task_test.cc
+++ b/Source/UnitTests/Platform/promotion_task_test.cc
@@ -78,9 +78,9 @@
             std::string::npos);
 }
 
-// Guards against a daemon that was suspended, lost the promotion duty
+// Guards against a daemon that was suspended, lost the promotion lease
 // meanwhile, and resumes replicas while its successor promotes one of them.
-TEST_F(PromotionTaskTest, Promotion_DutyTakenOver_LeavesReplicasPaused) {
+TEST_F(PromotionTaskTest, Promotion_LeaseTakenOver_LeavesReplicasPaused) {
   this->platform.duty.holder = common::HostId("other");
   this->platform.duty.revision = ++this->platform.revision;
   this->RunFor(milliseconds(700));
--- a/Source/UnitTests/Platform/proxy_group_test.cc
+++ b/Source/UnitTests/Platform/proxy_group_test.cc
@@ -28,7 +28,7 @@
 
 // Guards against promotions in a service that is not declared but has entries
 // of another writer. Its primary never responds, and its promotions would keep
-// the promotion duty from the declared services.
+// the promotion lease from the declared services.
 TEST_F(ProxyTest, MemberOfUndeclaredService_NoPrimary_IsNotPromoted) {
   session::GroupMember stray = this->primary_database.Entry();
   stray.id = common::EndpointId("stray");
--- a/Source/UnitTests/Platform/store_client_test.cc
+++ b/Source/UnitTests/Platform/store_client_test.cc
@@ -71,9 +71,9 @@
     });
   }
 
-  DutyResult WriteDuty(const PromotionDuty& duty) {
+  DutyResult WriteDuty(const PromotionDuty& record) {
     return this->Await<DutyResult>(
-        [&](auto done) { this->client.WriteDuty(duty, std::move(done)); });
+        [&](auto done) { this->client.WriteDuty(record, std::move(done)); });
   }
 
   /// Starts a server with a fixed body for each value of the query parameter
@@ -132,7 +132,8 @@
 }
 
 // Guards against two daemons that hold the same fencing token.
-TEST_F(StoreClientTest, WriteDuty_OlderRevision_ReturnsConflictWithRecord) {
+TEST_F(StoreClientTest,
+       WritePromotionLease_OlderRevision_ReturnsConflictWithRecord) {
   const auto first = std::get<PromotionDuty>(
       this->WriteDuty({common::HostId("one"), true, 0}));
   const auto second = std::get<PromotionDuty>(
@@ -147,7 +148,8 @@
 
 // Guards against treating a write whose response was lost as successful, or as
 // not made.
-TEST_F(StoreClientTest, WriteDuty_ResponseLost_IsUnavailableAlthoughWritten) {
+TEST_F(StoreClientTest,
+       WritePromotionLease_ResponseLost_IsUnavailableAlthoughWritten) {
   this->store.SetState(StoreState::kLosesAnswers);
   EXPECT_TRUE(std::holds_alternative<StoreUnavailable>(
       this->WriteDuty({common::HostId("one"), true, 0})));
