--- a/Source/Core/Session/group_context.h
+++ b/Source/Core/Session/group_context.h
@@ -5,7 +5,7 @@
 
 #include "Connection/connection.h"
 #include "Session/directory.h"
-#include "Session/duty_keeper.h"
+#include "Session/promotion_lease.h"
 #include "Session/proxy_metrics.h"
 #include "Session/wire_codec.h"
 
--- a/Source/Core/Session/duty_keeper.cc
+++ b/Source/Core/Session/promotion_lease.cc
@@ -1,4 +1,4 @@
-#include "Session/duty_keeper.h"
+#include "Session/promotion_lease.h"
 
 #include <utility>
 
--- a/Source/Core/Session/duty_keeper.h
+++ b/Source/Core/Session/promotion_lease.h
@@ -1,5 +1,5 @@
-#ifndef CAMPHORFERRY_SESSION_DUTY_KEEPER_H_
-#define CAMPHORFERRY_SESSION_DUTY_KEEPER_H_
+#ifndef CAMPHORFERRY_SESSION_PROMOTION_LEASE_H_
+#define CAMPHORFERRY_SESSION_PROMOTION_LEASE_H_
 
 #include <functional>
 #include <memory>
@@ -55,4 +55,4 @@
 
 }  // namespace camphorferry::session
 
-#endif  // CAMPHORFERRY_SESSION_DUTY_KEEPER_H_
+#endif  // CAMPHORFERRY_SESSION_PROMOTION_LEASE_H_
