--- a/Source/Core/Session/client_session.cc
+++ b/Source/Core/Session/client_session.cc
@@ -42,7 +42,7 @@
   events.closed = [this] { this->End(); };
   events.oversized = [this] {
     const auto keep = this->shared_from_this();
-    this->ReplyError(Refusal::kTooLarge, "message above 1 MiB");
+    this->ReplyError(StatementError::kTooLarge, "message above 1 MiB");
     this->End();
   };
   this->stream->Start(std::move(events));
@@ -53,7 +53,7 @@
   const ClientMessage message = this->codec->DecodeClient(line);
   if (const auto* open = std::get_if<OpenSession>(&message)) {
     if (this->opened) {
-      this->ReplyError(Refusal::kMalformed, "session is open");
+      this->ReplyError(StatementError::kMalformed, "session is open");
       this->End();
       return;
     }
@@ -67,12 +67,12 @@
   const auto* statement = std::get_if<Statement>(&message);
   if (statement == nullptr || !this->opened) {
     if (!this->opened) {
-      this->stream->Send(
-          this->codec->EncodeError(Refusal::kMalformed, "expected a start"));
+      this->stream->Send(this->codec->EncodeError(StatementError::kMalformed,
+                                                  "expected a start"));
       this->End();
       return;
     }
-    this->ReplyError(Refusal::kMalformed, "unknown statement");
+    this->ReplyError(StatementError::kMalformed, "unknown statement");
     return;
   }
   this->current_request = statement->request_id;
@@ -89,7 +89,7 @@
   this->stream->SetPaused(true);
   this->open_timer = this->loop->After(kConfigurationWait, [this] {
     const auto keep = this->shared_from_this();
-    this->RejectSession(Refusal::kBusy, "no configuration yet");
+    this->RejectSession(StatementError::kBusy, "no configuration yet");
   });
 }
 
@@ -103,11 +103,12 @@
 void ClientSession::FinishOpen() {
   const DatabaseRoute* route = this->Route();
   if (route == nullptr) {
-    this->RejectSession(Refusal::kNoSuchDatabase, this->opening.database);
+    this->RejectSession(StatementError::kNoSuchDatabase,
+                        this->opening.database);
     return;
   }
   if (!this->ResolveWorkspace(*route)) {
-    this->RejectSession(Refusal::kUnauthorized, "unknown key");
+    this->RejectSession(StatementError::kUnauthorized, "unknown key");
     return;
   }
   this->opened = true;
@@ -135,7 +136,7 @@
   const bool ends = statement.kind == StatementKind::kCommit ||
                     statement.kind == StatementKind::kRollback;
   if (this->state.Phase() == TransactionPhase::kFailed && !ends) {
-    this->ReplyError(Refusal::kMalformed, "transaction has failed");
+    this->ReplyError(StatementError::kMalformed, "transaction has failed");
     return;
   }
   switch (statement.kind) {
@@ -167,11 +168,11 @@
   } else if (statement.kind == StatementKind::kPrepare) {
     accepted = this->state.Prepare(statement.name, statement.prepared);
   } else if (!this->state.Deallocate(statement.name)) {
-    this->ReplyError(Refusal::kNoSuchStatement, statement.name);
+    this->ReplyError(StatementError::kNoSuchStatement, statement.name);
     return;
   }
   if (!accepted) {
-    this->ReplyError(Refusal::kTooLarge, "too many names");
+    this->ReplyError(StatementError::kTooLarge, "too many names");
     return;
   }
   this->ReplyDone();
@@ -181,7 +182,7 @@
                           std::function<void()> proceed) {
   const DatabaseRoute* route = this->Route();
   if (route == nullptr) {
-    this->ReplyError(Refusal::kNoSuchDatabase, this->opening.database);
+    this->ReplyError(StatementError::kNoSuchDatabase, this->opening.database);
     return;
   }
   if (!this->ResolveWorkspace(*route)) {
@@ -189,7 +190,7 @@
                 {{"request", statement.request_id},
                  {"workspace", this->workspace},
                  {"version", this->delegate->Configuration()->version}});
-    this->ReplyError(Refusal::kUnauthorized, "unknown key");
+    this->ReplyError(StatementError::kUnauthorized, "unknown key");
     return;
   }
   this->awaiting_admission = true;
@@ -219,13 +220,13 @@
                {"workspace", this->workspace},
                {"keeper", decision.rate_owner},
                {"retry_after_ms", wait_ms}});
-  this->ReplyError(Refusal::kBusy, "rate exceeded; retry after " +
-                                       std::to_string(wait_ms) + " ms");
+  this->ReplyError(StatementError::kBusy, "rate exceeded; retry after " +
+                                              std::to_string(wait_ms) + " ms");
 }
 
 void ClientSession::HandleBegin(const Statement& statement) {
   if (this->state.Phase() != TransactionPhase::kIdle) {
-    this->ReplyError(Refusal::kMalformed, "transaction is open");
+    this->ReplyError(StatementError::kMalformed, "transaction is open");
     return;
   }
   this->Admit(statement, [this, read_only = statement.kind ==
@@ -237,7 +238,7 @@
 
 void ClientSession::HandleEnd(const Statement& statement) {
   if (!this->state.Transaction().has_value()) {
-    this->ReplyError(Refusal::kMalformed, "no transaction is open");
+    this->ReplyError(StatementError::kMalformed, "no transaction is open");
     return;
   }
   const bool commit = statement.kind == StatementKind::kCommit;
@@ -249,7 +250,7 @@
   this->RollBackTransaction();
   this->state.EndTransaction();
   if (commit && failed) {
-    this->ReplyError(Refusal::kAborted, "transaction was rolled back");
+    this->ReplyError(StatementError::kAborted, "transaction was rolled back");
     return;
   }
   this->ReplyDone();
@@ -264,7 +265,7 @@
     shape = this->state.Find(statement.name);
     if (shape == nullptr) {
       this->state.FailTransaction();
-      this->ReplyError(Refusal::kNoSuchStatement, statement.name);
+      this->ReplyError(StatementError::kNoSuchStatement, statement.name);
       return;
     }
     access = shape->access;
@@ -290,15 +291,16 @@
   const bool commit = statement.kind == StatementKind::kCommit;
   if (group == nullptr) {
     this->FailTransaction(commit);
-    this->ReplyError(
-        route == nullptr ? Refusal::kNoSuchDatabase : Refusal::kBusy,
-        "no database of the service is known");
+    this->ReplyError(route == nullptr ? StatementError::kNoSuchDatabase
+                                      : StatementError::kBusy,
+                     "no database of the service is known");
     return;
   }
   if (transaction.has_value() && transaction->started &&
       (this->pinned_channel == nullptr || !this->pinned_channel->Usable())) {
     this->FailTransaction(commit);
-    this->ReplyError(Refusal::kAborted, "connection to the database ended");
+    this->ReplyError(StatementError::kAborted,
+                     "connection to the database ended");
     return;
   }
   RunRequest request;
@@ -358,7 +360,7 @@
   auto& transaction = this->state.Transaction();
   std::string reply;
   std::optional<common::LogPosition> position;
-  std::optional<Refusal> code;
+  std::optional<StatementError> code;
   if (const auto* answer = std::get_if<EndpointAnswer>(&result.outcome)) {
     for (const std::string& row : answer->rows) {
       reply += this->codec->EncodeRow(row);
@@ -402,7 +404,7 @@
   this->CloseIfStopping();
 }
 
-void ClientSession::ReplyError(Refusal code, const std::string& text) {
+void ClientSession::ReplyError(StatementError code, const std::string& text) {
   if (const DatabaseRoute* route = this->Route()) {
     this->delegate->CountAnswer(*route, code, common::Duration::zero());
   }
@@ -412,7 +414,8 @@
   this->CloseIfStopping();
 }
 
-void ClientSession::RejectSession(Refusal code, const std::string& text) {
+void ClientSession::RejectSession(StatementError code,
+                                  const std::string& text) {
   common::Log(Subsystem::kRequest, LogLevel::kInfo, "session_refused",
               {{"code", ToString(code)}, {"reason", text}});
   this->stream->Send(this->codec->EncodeError(code, text));
--- a/Source/Core/Session/client_session.h
+++ b/Source/Core/Session/client_session.h
@@ -39,7 +39,7 @@
 
   /// Counts an answered statement; without a code it was successful.
   virtual void CountAnswer(const DatabaseRoute& route,
-                           std::optional<Refusal> code,
+                           std::optional<StatementError> code,
                            common::Duration age) = 0;
 
   /// Whether sessions have to be closed as soon as they are idle.
@@ -101,8 +101,8 @@
   bool ResolveWorkspace(const DatabaseRoute& route);
 
   void ReplyDone();
-  void ReplyError(Refusal code, const std::string& text);
-  void RejectSession(Refusal code, const std::string& text);
+  void ReplyError(StatementError code, const std::string& text);
+  void RejectSession(StatementError code, const std::string& text);
   void CloseIfStopping();
   void FailTransaction(bool at_commit);
   void RollBackTransaction();
--- a/Source/Core/Session/directory.h
+++ b/Source/Core/Session/directory.h
@@ -77,7 +77,7 @@
   bool reports_primary = false;
   /// Start of the database's process in Unix milliseconds. A database that was
   /// restarted under the same identifier has lost its log.
-  std::uint64_t born = 0;
+  std::uint64_t incarnation = 0;
 
   bool operator==(const GroupMember&) const = default;
 };
@@ -151,12 +151,12 @@
 
 /// Whether a call to the directory must return every change that was
 /// acknowledged before it, or may lag by seconds at a lower cost.
-enum class DirectoryFreshness { kLatest, kMayLag };
+enum class DirectoryFreshness { kLatest, kAllowStale };
 
-/// The record that says which daemon may order promotions (the promotion duty).
-/// The revision of its last change is the fencing token, which rises with every
-/// change of the holder.
-struct PromotionDuty {
+/// The record that says which daemon may order promotions (the promotion
+/// lease). The revision of its last change is the fencing token, which rises
+/// with every change of the holder.
+struct PromotionLeaseRecord {
   common::HostId holder;
   /// True while the holder is carrying out a promotion.
   bool active = false;
@@ -164,16 +164,18 @@
 };
 
 /// The record was changed by another daemon; its current state.
-struct DutyConflict {
-  PromotionDuty duty;
+struct PromotionLeaseConflict {
+  PromotionLeaseRecord record;
 };
 
-using DutyResult = std::variant<PromotionDuty, DutyConflict, StoreUnavailable>;
+using PromotionLeaseResult =
+    std::variant<PromotionLeaseRecord, PromotionLeaseConflict,
+                 StoreUnavailable>;
 
 /// The platform's answer to a promotion order.
 enum class PromotionAnswer { kAccepted, kRejected, kNoAnswer };
 
-/// Interface to the platform: directory, duty record and promotions. Callbacks
+/// Interface to the platform: directory, lease record and promotions. Callbacks
 /// are called once, from the event loop.
 class Platform {
  public:
@@ -197,17 +199,19 @@
   virtual void RegisterHost(const FleetHost& host,
                             std::function<void(bool done)> done) = 0;
 
-  /// Reads the duty record; its revision is 0 if there is none.
-  virtual void ReadDuty(std::function<void(DutyResult)> done) = 0;
+  /// Reads the lease record; its revision is 0 if there is none.
+  virtual void ReadPromotionLease(
+      std::function<void(PromotionLeaseResult)> done) = 0;
 
-  /// Writes the duty record if its revision is still the given one.
-  virtual void WriteDuty(const PromotionDuty& duty,
-                         std::function<void(DutyResult)> done) = 0;
+  /// Writes the lease record if its revision is still the given one.
+  virtual void WritePromotionLease(
+      const PromotionLeaseRecord& record,
+      std::function<void(PromotionLeaseResult)> done) = 0;
 
-  /// Orders the promotion of an endpoint with the duty's fencing token.
+  /// Orders the promotion of an endpoint with the lease's fencing token.
   virtual void Promote(const common::ServiceId& service,
                        const common::EndpointId& endpoint,
-                       const PromotionDuty& duty,
+                       const PromotionLeaseRecord& record,
                        std::function<void(PromotionAnswer)> done) = 0;
 };
 
--- a/Source/Core/Session/directory_watcher.cc
+++ b/Source/Core/Session/directory_watcher.cc
@@ -27,7 +27,7 @@
 /// Members may be listed late, because the status that a member reports itself
 /// takes precedence over its entry.
 DirectoryFreshness FreshnessOf(DirectoryKind kind) {
-  return kind == DirectoryKind::kMembers ? DirectoryFreshness::kMayLag
+  return kind == DirectoryKind::kMembers ? DirectoryFreshness::kAllowStale
                                          : DirectoryFreshness::kLatest;
 }
 
--- a/Source/Core/Session/endpoint_pool.cc
+++ b/Source/Core/Session/endpoint_pool.cc
@@ -294,7 +294,7 @@
   const bool full = lost != nullptr && !lost->silent && lost->connected;
   if (error != nullptr || full) {
     this->observers.reached(true);
-    if (error != nullptr && error->code == Refusal::kWrongEndpoint) {
+    if (error != nullptr && error->code == StatementError::kWrongEndpoint) {
       this->FailAll(PoolFailure::kWrongEndpoint);
       return;
     }
--- a/Source/Core/Session/fleet_membership.cc
+++ b/Source/Core/Session/fleet_membership.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-FleetMembership::FleetMembership(HostPlace own) : own(std::move(own)) {}
+FleetMembership::FleetMembership(HostLocation own) : own(std::move(own)) {}
 
 void FleetMembership::Add(const FleetHost& host, common::SteadyTime now) {
   if (host.id == this->own.host || host.id.Empty()) return;
--- a/Source/Core/Session/fleet_membership.h
+++ b/Source/Core/Session/fleet_membership.h
@@ -15,7 +15,7 @@
 /// due for the next exchange of reports.
 class FleetMembership {
  public:
-  explicit FleetMembership(HostPlace own);
+  explicit FleetMembership(HostLocation own);
 
   /// Adds a daemon that was named by the directory or by its own report.
   void Add(const FleetHost& host, common::SteadyTime now);
@@ -66,7 +66,7 @@
   common::Duration IntervalOf(const Peer& peer) const;
   static bool IsSilent(const Peer& peer);
 
-  HostPlace own;
+  HostLocation own;
   std::map<common::HostId, Peer> peers;
   /// Empty when the owners have to be chosen again.
   std::vector<common::HostId> owners;
--- a/Source/Core/Session/fleet_task.cc
+++ b/Source/Core/Session/fleet_task.cc
@@ -29,12 +29,13 @@
 }  // namespace
 
 FleetTask::FleetTask(connection::EventLoop* loop, Platform* platform,
-                     HostPlace place, const connection::SocketAddress& listen,
+                     HostLocation location,
+                     const connection::SocketAddress& listen,
                      FleetCallbacks callbacks)
     : loop(loop),
       platform(platform),
-      own{place.host, "", place.domain},
-      membership(std::move(place)),
+      own{location.host, "", location.domain},
+      membership(std::move(location)),
       callbacks(std::move(callbacks)) {
   FleetHandlers handlers;
   handlers.exchange = [this](const FleetReport& report) {
@@ -43,7 +44,7 @@
   handlers.admit = [this](const AdmissionRequest& request) {
     return this->callbacks.admit(request);
   };
-  handlers.read_directory = [this](const DirectoryQuestion& query) {
+  handlers.read_directory = [this](const DirectoryQuery& query) {
     return this->callbacks.read_directory(query);
   };
   this->transport = NewGrpcFleetTransport(loop, listen, std::move(handlers));
@@ -75,7 +76,7 @@
   // Only the first listing must contain every host that has registered before.
   this->platform->List(
       DirectoryKind::kHosts,
-      this->fleet_known ? DirectoryFreshness::kMayLag
+      this->fleet_known ? DirectoryFreshness::kAllowStale
                         : DirectoryFreshness::kLatest,
       [this, still_alive = this->alive](const DirectoryResult& result) {
         if (!*still_alive) return;
@@ -181,7 +182,7 @@
 }
 
 void FleetTask::QueryDirectory(
-    const DirectoryQuestion& query,
+    const DirectoryQuery& query,
     std::function<void(const common::HostId& peer, const SharedDirectory&)>
         done) {
   const std::optional<FleetHost> peer = this->membership.NextResponsive();
--- a/Source/Core/Session/fleet_task.h
+++ b/Source/Core/Session/fleet_task.h
@@ -30,7 +30,7 @@
   /// Decides, as rate owner, about a daemon's operation.
   std::function<AdmissionReply(const AdmissionRequest&)> admit;
   /// Returns a part of the directory as this daemon knows it.
-  std::function<SharedDirectory(const DirectoryQuestion&)> read_directory;
+  std::function<SharedDirectory(const DirectoryQuery&)> read_directory;
 };
 
 /// Registers this daemon, discovers the others, exchanges reports with them and
@@ -38,8 +38,9 @@
 class FleetTask {
  public:
   /// Throws FleetListenError.
-  FleetTask(connection::EventLoop* loop, Platform* platform, HostPlace place,
-            const connection::SocketAddress& listen, FleetCallbacks callbacks);
+  FleetTask(connection::EventLoop* loop, Platform* platform,
+            HostLocation location, const connection::SocketAddress& listen,
+            FleetCallbacks callbacks);
   ~FleetTask();
   FleetTask(const FleetTask&) = delete;
   FleetTask& operator=(const FleetTask&) = delete;
@@ -66,7 +67,7 @@
   /// Asks the next responsive daemon for a part of the directory. Calls back
   /// only if it answers.
   void QueryDirectory(
-      const DirectoryQuestion& query,
+      const DirectoryQuery& query,
       std::function<void(const common::HostId& peer, const SharedDirectory&)>
           done);
 
--- a/Source/Core/Session/fleet_transport.h
+++ b/Source/Core/Session/fleet_transport.h
@@ -46,7 +46,7 @@
 
 /// Request for a part of the directory by a daemon that the store does not
 /// answer.
-struct DirectoryQuestion {
+struct DirectoryQuery {
   DirectoryKind kind = DirectoryKind::kConfiguration;
   /// The revision that the requester already knows.
   std::uint64_t revision = 0;
@@ -74,7 +74,7 @@
   /// Asks a peer for a part of the directory. Calls back once, with nothing if
   /// it gave no answer in time.
   virtual void ReadDirectory(
-      const std::string& address, const DirectoryQuestion& query,
+      const std::string& address, const DirectoryQuery& query,
       common::Duration timeout,
       std::function<void(std::optional<SharedDirectory>)> done) = 0;
 
@@ -90,7 +90,7 @@
   /// Takes a peer's report and returns this daemon's report.
   std::function<FleetReport(const FleetReport&)> exchange;
   std::function<AdmissionReply(const AdmissionRequest&)> admit;
-  std::function<SharedDirectory(const DirectoryQuestion&)> read_directory;
+  std::function<SharedDirectory(const DirectoryQuery&)> read_directory;
 };
 
 /// Thrown if the address for peers cannot be listened on.
--- a/Source/Core/Session/group_context.h
+++ b/Source/Core/Session/group_context.h
@@ -12,7 +12,7 @@
 namespace camphorferry::session {
 
 /// The host and failure domain that this daemon runs in.
-struct HostPlace {
+struct HostLocation {
   common::HostId host;
   common::FailureDomainId domain;
   std::map<common::FailureDomainId, common::RegionId> region_of;
@@ -32,9 +32,9 @@
   connection::EventLoop* loop = nullptr;
   const WireCodec* codec = nullptr;
   Platform* platform = nullptr;
-  DutyKeeper* duty = nullptr;
+  PromotionLease* promotion_lease = nullptr;
   ProxyMetrics* metrics = nullptr;
-  HostPlace place;
+  HostLocation location;
 };
 
 }  // namespace camphorferry::session
--- a/Source/Core/Session/grpc_fleet_transport.cc
+++ b/Source/Core/Session/grpc_fleet_transport.cc
@@ -45,7 +45,7 @@
   return report;
 }
 
-fleet::v1::DirectoryRequest ToMessage(const DirectoryQuestion& query) {
+fleet::v1::DirectoryRequest ToMessage(const DirectoryQuery& query) {
   fleet::v1::DirectoryRequest message;
   message.set_kind(query.kind == DirectoryKind::kMembers
                        ? fleet::v1::MEMBERS
@@ -54,7 +54,7 @@
   return message;
 }
 
-DirectoryQuestion FromMessage(const fleet::v1::DirectoryRequest& message) {
+DirectoryQuery FromMessage(const fleet::v1::DirectoryRequest& message) {
   return {message.kind() == fleet::v1::MEMBERS ? DirectoryKind::kMembers
                                                : DirectoryKind::kConfiguration,
           message.revision()};
@@ -259,7 +259,7 @@
   }
 
   void ReadDirectory(
-      const std::string& address, const DirectoryQuestion& query,
+      const std::string& address, const DirectoryQuery& query,
       common::Duration timeout,
       std::function<void(std::optional<SharedDirectory>)> done) override {
     this->Call<fleet::v1::DirectoryRequest, fleet::v1::DirectoryReply>(
--- a/Source/Core/Session/primary_monitor.cc
+++ b/Source/Core/Session/primary_monitor.cc
@@ -34,19 +34,19 @@
 
 }  // namespace
 
-const char* ToString(ReplaceReason reason) {
+const char* ToString(FailoverReason reason) {
   switch (reason) {
-    case ReplaceReason::kDead:
+    case FailoverReason::kDead:
       return "dead";
-    case ReplaceReason::kUnreachable:
+    case FailoverReason::kUnreachable:
       return "unreachable";
-    case ReplaceReason::kStalled:
+    case FailoverReason::kStalled:
       return "stalled";
-    case ReplaceReason::kReplicasHeld:
+    case FailoverReason::kReplicasHeld:
       return "replicas_held";
-    case ReplaceReason::kLeaving:
+    case FailoverReason::kLeaving:
       return "leaving";
-    case ReplaceReason::kNoPrimary:
+    case FailoverReason::kNoPrimary:
       return "no_primary";
   }
   return "unknown";
@@ -116,15 +116,15 @@
   if (!this->primary_known) {
     if (this->no_primary_since.has_value() &&
         now - *this->no_primary_since >= kNoPrimaryAfter) {
-      decision.replace = ReplaceReason::kNoPrimary;
+      decision.replace = FailoverReason::kNoPrimary;
     }
     return decision;
   }
-  if (this->leaving) decision.replace = ReplaceReason::kLeaving;
+  if (this->leaving) decision.replace = FailoverReason::kLeaving;
   for (const auto& [id, state] : this->held) {
     if (now - state.since >= kAbandonedHoldAfter &&
         now - state.seen <= kMaxHeldStatusAge) {
-      decision.replace = ReplaceReason::kReplicasHeld;
+      decision.replace = FailoverReason::kReplicasHeld;
     }
   }
   if (this->unresponsive_since.has_value()) {
@@ -133,15 +133,15 @@
     if (this->unresponsive_count >= kMinFailures && silence >= kDeadAfter) {
       const bool quiet = !this->replica_advanced_at.has_value() ||
                          now - *this->replica_advanced_at >= kReplicasIdleAfter;
-      if (quiet) decision.replace = ReplaceReason::kDead;
+      if (quiet) decision.replace = FailoverReason::kDead;
       if (silence >= kUnreachableAfter) {
-        decision.replace = ReplaceReason::kUnreachable;
+        decision.replace = FailoverReason::kUnreachable;
       }
     }
   }
   if (this->stalled_count >= kMinStalledCommits &&
       now - *this->stalled_since >= kStalledAfter) {
-    decision.replace = ReplaceReason::kStalled;
+    decision.replace = FailoverReason::kStalled;
   }
   return decision;
 }
--- a/Source/Core/Session/primary_monitor.h
+++ b/Source/Core/Session/primary_monitor.h
@@ -11,7 +11,7 @@
 namespace camphorferry::session {
 
 /// Why a primary has to be replaced.
-enum class ReplaceReason {
+enum class FailoverReason {
   /// It does not answer this daemon, and its replicas receive nothing from it.
   kDead,
   /// It does not answer this daemon, but its replicas still receive from it.
@@ -28,13 +28,13 @@
 };
 
 /// Reason as it is written to log events.
-const char* ToString(ReplaceReason reason);
+const char* ToString(FailoverReason reason);
 
 /// What the group has to do about its primary.
 struct FailoverDecision {
   /// The primary should be asked for its status now.
   bool probe = false;
-  std::optional<ReplaceReason> replace;
+  std::optional<FailoverReason> replace;
 };
 
 /// Failure detector that decides when a group's primary has to be replaced.
--- a/Source/Core/Session/primary_view.cc
+++ b/Source/Core/Session/primary_view.cc
@@ -10,10 +10,10 @@
     const auto known = this->claims.find(member.id);
     Claim claim;
     if (known != this->claims.end() &&
-        known->second.incarnation == member.born) {
+        known->second.incarnation == member.incarnation) {
       claim = known->second;
     }
-    claim.incarnation = member.born;
+    claim.incarnation = member.incarnation;
     if (member.reports_primary != claim.reported) {
       claim.reported = member.reports_primary;
       claim.sequence = member.reports_primary ? this->next_sequence++ : 0;
--- a/Source/Core/Session/promotion_lease.cc
+++ b/Source/Core/Session/promotion_lease.cc
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-DutyKeeper::DutyKeeper(Platform* platform, common::HostId host)
+PromotionLease::PromotionLease(Platform* platform, common::HostId host)
     : platform(platform), host(std::move(host)) {}
 
-void DutyKeeper::Acquire(std::function<void(bool held)> done) {
+void PromotionLease::Acquire(std::function<void(bool held)> done) {
   if (this->users > 0) {
     if (this->lost) {
       done(false);
@@ -28,34 +28,35 @@
     done(true);
     return;
   }
-  this->platform->ReadDuty([this, still_alive = this->alive,
-                            done = std::move(done)](const DutyResult& result) {
-    if (!*still_alive) return;
-    const auto* duty = std::get_if<PromotionDuty>(&result);
-    if (duty == nullptr) {
-      done(false);
-      return;
-    }
-    const common::SteadyTime now = common::SteadyNow();
-    if (!this->record_seen_at.has_value() ||
-        duty->revision != this->record.revision) {
-      this->record_seen_at = now;
-    }
-    this->record = *duty;
-    if (duty->active && duty->holder != this->host &&
-        now - *this->record_seen_at < kTakeoverDelay) {
-      done(false);
-      return;
-    }
-    this->Write(true, [this, done](bool written) {
-      if (written) ++this->users;
-      done(written);
-    });
-  });
+  this->platform->ReadPromotionLease(
+      [this, still_alive = this->alive,
+       done = std::move(done)](const PromotionLeaseResult& result) {
+        if (!*still_alive) return;
+        const auto* stored = std::get_if<PromotionLeaseRecord>(&result);
+        if (stored == nullptr) {
+          done(false);
+          return;
+        }
+        const common::SteadyTime now = common::SteadyNow();
+        if (!this->record_seen_at.has_value() ||
+            stored->revision != this->record.revision) {
+          this->record_seen_at = now;
+        }
+        this->record = *stored;
+        if (stored->active && stored->holder != this->host &&
+            now - *this->record_seen_at < kTakeoverDelay) {
+          done(false);
+          return;
+        }
+        this->Write(true, [this, done](bool written) {
+          if (written) ++this->users;
+          done(written);
+        });
+      });
 }
 
-void DutyKeeper::Confirm(
-    std::function<void(std::optional<PromotionDuty>)> done) {
+void PromotionLease::Confirm(
+    std::function<void(std::optional<PromotionLeaseRecord>)> done) {
   if (this->lost) {
     done(std::nullopt);
     return;
@@ -69,37 +70,39 @@
   });
 }
 
-void DutyKeeper::Release() {
+void PromotionLease::Release() {
   if (--this->users > 0) return;
   this->confirmed_at.reset();
   if (std::exchange(this->lost, false)) return;
   this->Write(false, [this](bool /*written*/) { this->confirmed_at.reset(); });
 }
 
-bool DutyKeeper::MayOrder(common::SteadyTime now) const {
+bool PromotionLease::MayOrder(common::SteadyTime now) const {
   return this->users > 0 && this->confirmed_at.has_value() &&
          now - *this->confirmed_at < kOrderWindow;
 }
 
-void DutyKeeper::Write(bool active, std::function<void(bool written)> done) {
+void PromotionLease::Write(bool active,
+                           std::function<void(bool written)> done) {
   const common::SteadyTime sent = common::SteadyNow();
-  PromotionDuty wanted{this->host, active, this->record.revision};
-  this->platform->WriteDuty(
+  PromotionLeaseRecord wanted{this->host, active, this->record.revision};
+  this->platform->WritePromotionLease(
       wanted, [this, sent, still_alive = this->alive,
-               done = std::move(done)](const DutyResult& result) {
+               done = std::move(done)](const PromotionLeaseResult& result) {
         if (!*still_alive) return;
-        if (const auto* written = std::get_if<PromotionDuty>(&result)) {
+        if (const auto* written = std::get_if<PromotionLeaseRecord>(&result)) {
           this->record = *written;
           this->record_seen_at = common::SteadyNow();
           this->confirmed_at = sent;
           done(true);
           return;
         }
-        if (const auto* conflict = std::get_if<DutyConflict>(&result)) {
-          this->record = conflict->duty;
+        if (const auto* conflict =
+                std::get_if<PromotionLeaseConflict>(&result)) {
+          this->record = conflict->record;
           this->record_seen_at = common::SteadyNow();
           this->confirmed_at.reset();
-          // The new holder must not lose the duty to this daemon.
+          // The new holder must not lose the lease to this daemon.
           this->lost = this->users > 0;
         }
         done(false);
--- a/Source/Core/Session/promotion_lease.h
+++ b/Source/Core/Session/promotion_lease.h
@@ -9,31 +9,32 @@
 
 namespace camphorferry::session {
 
-/// Client of the fleet-wide promotion lease (the "duty"): only the daemon that
+/// Client of the fleet-wide promotion lease, which stored objects, headers and
+/// metrics call "duty": only the daemon that
 /// holds it may order promotions. The record in the platform's store decides
 /// who that is. Every change of the record is conditional on its revision, and
 /// the revision serves as the fencing token. An order is given only shortly
-/// after a successful change of the record; another daemon takes the duty over
+/// after a successful change of the record; another daemon takes the lease over
 /// only after the record has not changed for longer than an order can be in
 /// flight.
-class DutyKeeper {
+class PromotionLease {
  public:
-  DutyKeeper(Platform* platform, common::HostId host);
-  ~DutyKeeper() { *this->alive = false; }
-  DutyKeeper(const DutyKeeper&) = delete;
-  DutyKeeper& operator=(const DutyKeeper&) = delete;
+  PromotionLease(Platform* platform, common::HostId host);
+  ~PromotionLease() { *this->alive = false; }
+  PromotionLease(const PromotionLease&) = delete;
+  PromotionLease& operator=(const PromotionLease&) = delete;
 
-  /// Tries to acquire the duty and calls back with whether it is held.
+  /// Tries to acquire the lease and calls back with whether it is held.
   void Acquire(std::function<void(bool held)> done);
 
-  /// Renews the duty if necessary and calls back with a record whose token can
-  /// be used at once; none if the duty was lost or the store does not answer.
-  void Confirm(std::function<void(std::optional<PromotionDuty>)> done);
+  /// Renews the lease if necessary and calls back with a record whose token can
+  /// be used at once; none if the lease was lost or the store does not answer.
+  void Confirm(std::function<void(std::optional<PromotionLeaseRecord>)> done);
 
-  /// Ends one use that was granted by Acquire. The last one releases the duty.
+  /// Ends one use that was granted by Acquire. The last one releases the lease.
   void Release();
 
-  /// Whether the duty was confirmed recently enough to give an order.
+  /// Whether the lease was confirmed recently enough to give an order.
   bool MayOrder(common::SteadyTime now) const;
 
  private:
@@ -42,13 +43,13 @@
   Platform* platform;
   common::HostId host;
   /// Last known state of the record.
-  PromotionDuty record;
+  PromotionLeaseRecord record;
   /// When the current revision of the record was first seen.
   std::optional<common::SteadyTime> record_seen_at;
   /// When the last successful change of the record was sent.
   std::optional<common::SteadyTime> confirmed_at;
   int users = 0;
-  /// Another daemon has changed the record while this one held the duty.
+  /// Another daemon has changed the record while this one held the lease.
   bool lost = false;
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Source/Core/Session/promotion_plan.cc
+++ b/Source/Core/Session/promotion_plan.cc
@@ -34,7 +34,7 @@
     : primary(primary), term(highest_term + 1), started(now) {
   for (const GroupMember& member : group) {
     this->members[member.id] =
-        Member{member.state == MemberState::kLeaving, member.born, {}};
+        Member{member.state == MemberState::kLeaving, member.incarnation, {}};
   }
 }
 
@@ -100,11 +100,11 @@
     const auto known = this->members.find(member.id);
     Member entry;
     if (known != this->members.end() &&
-        known->second.incarnation == member.born) {
+        known->second.incarnation == member.incarnation) {
       entry = known->second;
     }
     entry.leaving = member.state == MemberState::kLeaving;
-    entry.incarnation = member.born;
+    entry.incarnation = member.incarnation;
     present[member.id] = entry;
   }
   this->members = std::move(present);
--- a/Source/Core/Session/promotion_task.cc
+++ b/Source/Core/Session/promotion_task.cc
@@ -10,66 +10,67 @@
 using common::Subsystem;
 
 /// Delay before the next promotion after one has ended or another daemon holds
-/// the duty.
+/// the lease.
 constexpr std::chrono::milliseconds kRestartDelay(400);
 /// Daemons that detect a loss at the same time each wait for a random part of
-/// this before they request the duty, so that usually only one of them does.
+/// this before they request the lease, so that usually only one of them does.
 constexpr std::chrono::milliseconds kMaxStartJitter(150);
 
 }  // namespace
 
 PromotionTask::PromotionTask(GroupContext context, common::ServiceId service,
-                             PromotionGroup group)
+                             PromotionCallbacks callbacks)
     : context(std::move(context)),
       service(std::move(service)),
-      group(std::move(group)),
+      callbacks(std::move(callbacks)),
       random(std::random_device{}()) {}
 
 PromotionTask::~PromotionTask() { *this->alive = false; }
 
-void PromotionTask::Start(ReplaceReason reason, common::SteadyTime now) {
+void PromotionTask::Start(FailoverReason reason, common::SteadyTime now) {
   if (this->running || now < this->next_start) return;
   this->running = true;
   this->phase_started_at = now;
   std::uniform_int_distribution<int> jitter(
       0, static_cast<int>(kMaxStartJitter.count()));
-  this->context.loop->RunLater(
-      std::chrono::milliseconds(jitter(this->random)),
-      [this, still_alive = this->alive, reason] {
-        if (!*still_alive) return;
-        if (!this->group.still_needed()) {
-          this->running = false;
-          return;
-        }
-        this->context.duty->Acquire([this, still_alive, reason](bool held) {
-          if (!*still_alive) return;
-          if (held) {
-            this->Begin(reason);
-            return;
-          }
-          this->running = false;
-          this->next_start = common::SteadyNow() + kRestartDelay;
-        });
-      });
+  this->context.loop->RunLater(std::chrono::milliseconds(jitter(this->random)),
+                               [this, still_alive = this->alive, reason] {
+                                 if (!*still_alive) return;
+                                 if (!this->callbacks.still_needed()) {
+                                   this->running = false;
+                                   return;
+                                 }
+                                 this->context.promotion_lease->Acquire(
+                                     [this, still_alive, reason](bool held) {
+                                       if (!*still_alive) return;
+                                       if (held) {
+                                         this->Begin(reason);
+                                         return;
+                                       }
+                                       this->running = false;
+                                       this->next_start =
+                                           common::SteadyNow() + kRestartDelay;
+                                     });
+                               });
 }
 
-void PromotionTask::Begin(ReplaceReason reason) {
+void PromotionTask::Begin(FailoverReason reason) {
   const common::SteadyTime now = common::SteadyNow();
   this->RecordPhase("duty");
-  if (!this->group.still_needed()) {
+  if (!this->callbacks.still_needed()) {
     this->End({false, "not_needed"});
     return;
   }
-  const std::vector<GroupMember> members = this->group.members();
-  const std::optional<common::EndpointId> primary = this->group.primary();
+  const std::vector<GroupMember> members = this->callbacks.members();
+  const std::optional<common::EndpointId> primary = this->callbacks.primary();
   common::Log(Subsystem::kConnection, LogLevel::kWarning, "promotion_started",
               {{"service", this->service},
                {"reason", ToString(reason)},
                {"old_primary", primary.value_or(common::EndpointId())},
-               {"term", this->group.highest_term()},
+               {"term", this->callbacks.highest_term()},
                {"members", members.size()}});
-  this->plan = std::make_shared<PromotionPlan>(members, primary,
-                                               this->group.highest_term(), now);
+  this->plan = std::make_shared<PromotionPlan>(
+      members, primary, this->callbacks.highest_term(), now);
   this->Perform(this->plan->Begin(now));
 }
 
@@ -85,9 +86,9 @@
 void PromotionTask::Perform(const std::vector<PromotionAction>& actions) {
   // An action may end this plan and a new one may start.
   const std::shared_ptr<PromotionPlan> current = this->plan;
-  const auto ask = [this, &current](const common::EndpointId& id,
-                                    const std::string& command) {
-    this->group.ask(
+  const auto send_command = [this, &current](const common::EndpointId& id,
+                                             const std::string& command) {
+    this->callbacks.send_command(
         id, command,
         [this, still_alive = this->alive, current,
          id](const std::optional<EndpointStatus>& status) {
@@ -102,14 +103,14 @@
     std::visit(
         common::Overloaded{
             [&](const SendStepDown& send) {
-              ask(send.endpoint, codec->EncodeStepDown(send.term));
+              send_command(send.endpoint, codec->EncodeStepDown(send.term));
             },
             [&](const SendHold& send) {
-              ask(send.endpoint, codec->EncodeHold(send.term));
+              send_command(send.endpoint, codec->EncodeHold(send.term));
             },
             [&](const SendResume& send) { held.push_back(send.endpoint); },
             [&](const SendStatus& send) {
-              ask(send.endpoint, codec->EncodeStatus());
+              send_command(send.endpoint, codec->EncodeStatus());
             },
             [&](const OrderPromotion& order) { this->SendOrder(order); },
             [&](const PromotionFinished& finished) {
@@ -128,45 +129,50 @@
   }
   // This daemon may have been suspended and another one may have taken over the
   // promotion. The other's order relies on the replicas being held.
-  this->context.duty->Confirm([this, still_alive = this->alive, held, finished](
-                                  const std::optional<PromotionDuty>& duty) {
-    if (!*still_alive) return;
-    if (duty.has_value()) {
-      for (const common::EndpointId& id : held) {
-        this->group.ask(id, this->context.codec->EncodeResume(),
-                        [](const std::optional<EndpointStatus>&) {});
-      }
-    } else {
-      common::Log(Subsystem::kConnection, LogLevel::kWarning,
-                  "replicas_left_held", {{"service", this->service}});
-    }
-    this->End(finished);
-  });
+  this->context.promotion_lease->Confirm(
+      [this, still_alive = this->alive, held,
+       finished](const std::optional<PromotionLeaseRecord>& record) {
+        if (!*still_alive) return;
+        if (record.has_value()) {
+          for (const common::EndpointId& id : held) {
+            this->callbacks.send_command(
+                id, this->context.codec->EncodeResume(),
+                [](const std::optional<EndpointStatus>&) {});
+          }
+        } else {
+          common::Log(Subsystem::kConnection, LogLevel::kWarning,
+                      "replicas_left_held", {{"service", this->service}});
+        }
+        this->End(finished);
+      });
 }
 
 void PromotionTask::SendOrder(const OrderPromotion& order) {
   this->RecordPhase("fence");
-  this->context.duty->Confirm([this, still_alive = this->alive,
-                               current = this->plan, order](
-                                  const std::optional<PromotionDuty>& duty) {
-    if (!*still_alive || this->plan != current) return;
-    if (!duty.has_value() ||
-        !this->context.duty->MayOrder(common::SteadyNow())) {
-      common::Log(Subsystem::kConnection, LogLevel::kWarning,
-                  "promotion_duty_unconfirmed", {{"service", this->service}});
-      return;
-    }
-    common::Log(Subsystem::kConnection, LogLevel::kWarning, "promotion_ordered",
-                {{"service", this->service},
-                 {"endpoint", order.endpoint},
-                 {"token", duty->revision}});
-    this->context.platform->Promote(
-        this->service, order.endpoint, *duty,
-        [this, still_alive, current](PromotionAnswer answer) {
-          if (!*still_alive || this->plan != current) return;
-          this->Perform(current->OnOrderAnswer(answer, common::SteadyNow()));
-        });
-  });
+  this->context.promotion_lease->Confirm(
+      [this, still_alive = this->alive, current = this->plan,
+       order](const std::optional<PromotionLeaseRecord>& record) {
+        if (!*still_alive || this->plan != current) return;
+        if (!record.has_value() ||
+            !this->context.promotion_lease->MayOrder(common::SteadyNow())) {
+          common::Log(Subsystem::kConnection, LogLevel::kWarning,
+                      "promotion_duty_unconfirmed",
+                      {{"service", this->service}});
+          return;
+        }
+        common::Log(Subsystem::kConnection, LogLevel::kWarning,
+                    "promotion_ordered",
+                    {{"service", this->service},
+                     {"endpoint", order.endpoint},
+                     {"token", record->revision}});
+        this->context.platform->Promote(
+            this->service, order.endpoint, *record,
+            [this, still_alive, current](PromotionAnswer answer) {
+              if (!*still_alive || this->plan != current) return;
+              this->Perform(
+                  current->OnOrderAnswer(answer, common::SteadyNow()));
+            });
+      });
 }
 
 void PromotionTask::RecordPhase(const std::string& phase) {
@@ -185,14 +191,14 @@
       {{"service", this->service},
        {"promoted", finished.promoted ? "yes" : "no"},
        {"reason", finished.reason},
-       {"primary", this->group.primary().value_or(common::EndpointId())}});
+       {"primary", this->callbacks.primary().value_or(common::EndpointId())}});
   this->context.metrics->Count("promotions",
                                "Promotions of this daemon by how they ended.",
                                "result", finished.reason);
   if (finished.promoted) this->RecordPhase("promote");
   this->plan.reset();
   this->running = false;
-  this->context.duty->Release();
+  this->context.promotion_lease->Release();
   this->next_start = common::SteadyNow() + kRestartDelay;
 }
 
--- a/Source/Core/Session/promotion_task.h
+++ b/Source/Core/Session/promotion_task.h
@@ -14,13 +14,13 @@
 
 namespace camphorferry::session {
 
-/// What a promotion needs from its group.
-struct PromotionGroup {
+/// Callbacks through which a promotion uses its group.
+struct PromotionCallbacks {
   /// Sends an encoded command to a member. Calls back with the member's status,
   /// or with nothing if it did not answer in time.
   std::function<void(const common::EndpointId&, const std::string& command,
                      std::function<void(std::optional<EndpointStatus>)>)>
-      ask;
+      send_command;
   std::function<std::vector<GroupMember>()> members;
   std::function<std::optional<common::EndpointId>()> primary;
   std::function<common::Term()> highest_term;
@@ -28,19 +28,19 @@
   std::function<bool()> still_needed;
 };
 
-/// Replaces the primary of one group: acquires the promotion duty, carries out
-/// a PromotionPlan and releases the duty.
+/// Replaces the primary of one group: acquires the promotion lease, carries out
+/// a PromotionPlan and releases the lease.
 class PromotionTask {
  public:
   PromotionTask(GroupContext context, common::ServiceId service,
-                PromotionGroup group);
+                PromotionCallbacks callbacks);
   ~PromotionTask();
   PromotionTask(const PromotionTask&) = delete;
   PromotionTask& operator=(const PromotionTask&) = delete;
 
   /// Starts a promotion, unless one is running or has ended less than the
   /// restart delay ago.
-  void Start(ReplaceReason reason, common::SteadyTime now);
+  void Start(FailoverReason reason, common::SteadyTime now);
 
   /// Handles a change of the set of registered members.
   void OnMembers(const std::vector<GroupMember>& members,
@@ -50,10 +50,10 @@
   void Tick(common::SteadyTime now);
 
  private:
-  void Begin(ReplaceReason reason);
+  void Begin(FailoverReason reason);
   void Perform(const std::vector<PromotionAction>& actions);
   void SendOrder(const OrderPromotion& order);
-  /// Resumes the held replicas if this daemon still holds the duty, and ends
+  /// Resumes the held replicas if this daemon still holds the lease, and ends
   /// the promotion.
   void ResumeAndEnd(const std::vector<common::EndpointId>& held,
                     const PromotionFinished& finished);
@@ -63,7 +63,7 @@
 
   GroupContext context;
   common::ServiceId service;
-  PromotionGroup group;
+  PromotionCallbacks callbacks;
   bool running = false;
   std::shared_ptr<PromotionPlan> plan;
   common::SteadyTime next_start;
--- a/Source/Core/Session/proxy.cc
+++ b/Source/Core/Session/proxy.cc
@@ -65,7 +65,7 @@
       codec(codec),
       platform(platform),
       settings(std::move(settings)),
-      duty(platform, this->settings.place.host) {
+      promotion_lease(platform, this->settings.location.host) {
   this->limiter.SetTolerance(this->settings.rate_tolerance);
   this->limiter.SetFleet(kMinAssumedFleetSize, 1);
   this->Listen();
@@ -117,7 +117,7 @@
   callbacks.on_peer_report = [this](const FleetReport& report) {
     this->CompareVersions(report);
   };
-  callbacks.read_directory = [this](const DirectoryQuestion& query) {
+  callbacks.read_directory = [this](const DirectoryQuery& query) {
     return this->WatcherOf(query.kind)->ObjectsSince(query.revision);
   };
   callbacks.on_size_changed = [this](std::size_t size, std::size_t responsive) {
@@ -129,12 +129,12 @@
         request.workspace, request.requester, common::SteadyNow())};
   };
   this->fleet =
-      std::make_unique<FleetTask>(loop, platform, this->settings.place,
+      std::make_unique<FleetTask>(loop, platform, this->settings.location,
                                   this->settings.peers, std::move(callbacks));
   this->tick = loop->Every(kGroupTickInterval, [this] { this->Tick(); });
   common::Log(Subsystem::kProcess, LogLevel::kInfo, "started",
-              {{"host", this->settings.place.host},
-               {"domain", this->settings.place.domain}});
+              {{"host", this->settings.location.host},
+               {"domain", this->settings.location.domain}});
 }
 
 Proxy::~Proxy() {
@@ -250,7 +250,8 @@
   }
 }
 
-void Proxy::CountAnswer(const DatabaseRoute& route, std::optional<Refusal> code,
+void Proxy::CountAnswer(const DatabaseRoute& route,
+                        std::optional<StatementError> code,
                         common::Duration age) {
   this->metrics.CountAnswer(route.guarantee, code, age);
 }
@@ -319,9 +320,9 @@
       context.loop = this->loop;
       context.codec = this->codec;
       context.platform = this->platform;
-      context.duty = &this->duty;
+      context.promotion_lease = &this->promotion_lease;
       context.metrics = &this->metrics;
-      context.place = this->settings.place;
+      context.location = this->settings.location;
       group = std::make_shared<ServiceGroup>(context, service);
     }
     group->SetMembers(present);
--- a/Source/Core/Session/proxy.h
+++ b/Source/Core/Session/proxy.h
@@ -25,7 +25,7 @@
 
 /// Settings of a proxy process.
 struct ProxySettings {
-  HostPlace place;
+  HostLocation location;
   connection::SocketAddress clients;
   /// Address of the readiness endpoint.
   connection::SocketAddress readiness;
@@ -69,7 +69,8 @@
       const common::ServiceId& service) override;
   void Admit(const common::WorkspaceId& workspace,
              std::function<void(AdmissionDecision)> done) override;
-  void CountAnswer(const DatabaseRoute& route, std::optional<Refusal> code,
+  void CountAnswer(const DatabaseRoute& route,
+                   std::optional<StatementError> code,
                    common::Duration age) override;
   bool ClosesSessions() const override;
   void OnSessionEnded(ClientSession* session) override;
@@ -105,7 +106,7 @@
   Platform* platform;
   ProxySettings settings;
   ProxyMetrics metrics;
-  DutyKeeper duty;
+  PromotionLease promotion_lease;
   WorkspaceLimiter limiter;
   evconnlistener* listener = nullptr;
   std::unique_ptr<connection::HttpServer> readiness;
--- a/Source/Core/Session/proxy_metrics.cc
+++ b/Source/Core/Session/proxy_metrics.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 void ProxyMetrics::CountAnswer(ReadGuarantee guarantee,
-                               std::optional<Refusal> code,
+                               std::optional<StatementError> code,
                                common::Duration age) {
   const std::string route = ToString(guarantee);
   const std::string outcome =
--- a/Source/Core/Session/proxy_metrics.h
+++ b/Source/Core/Session/proxy_metrics.h
@@ -18,7 +18,7 @@
 class ProxyMetrics {
  public:
   /// Counts one answer to a client.
-  void CountAnswer(ReadGuarantee guarantee, std::optional<Refusal> code,
+  void CountAnswer(ReadGuarantee guarantee, std::optional<StatementError> code,
                    common::Duration age);
 
   /// Adds one to the counter NAME_total with one label.
--- a/Source/Core/Session/service_group.cc
+++ b/Source/Core/Session/service_group.cc
@@ -54,19 +54,20 @@
       round_backoff(kMinRoundBackoff) {
   this->monitor.OnPrimaryChanged(common::SteadyNow() + kMaxFirstListingAge,
                                  false);
-  PromotionGroup group;
-  group.ask = [this](const common::EndpointId& id, const std::string& command,
-                     StatusCallback done) {
+  PromotionCallbacks callbacks;
+  callbacks.send_command = [this](const common::EndpointId& id,
+                                  const std::string& command,
+                                  StatusCallback done) {
     this->SendCommand(id, command, kStatusTimeout, std::move(done));
   };
-  group.members = [this] { return this->Entries(); };
-  group.primary = [this] { return this->primary; };
-  group.highest_term = [this] { return this->view.HighestTerm(); };
-  group.still_needed = [this] {
+  callbacks.members = [this] { return this->Entries(); };
+  callbacks.primary = [this] { return this->primary; };
+  callbacks.highest_term = [this] { return this->view.HighestTerm(); };
+  callbacks.still_needed = [this] {
     return this->MustReplace(common::SteadyNow());
   };
   this->promotion = std::make_unique<PromotionTask>(
-      this->context, this->service, std::move(group));
+      this->context, this->service, std::move(callbacks));
 }
 
 ServiceGroup::~ServiceGroup() { *this->alive = false; }
@@ -77,7 +78,7 @@
     ids.insert(entry.id);
     const auto found = this->members.find(entry.id);
     const bool same = found != this->members.end() &&
-                      found->second.entry.born == entry.born &&
+                      found->second.entry.incarnation == entry.incarnation &&
                       found->second.entry.address == entry.address;
     if (same) {
       found->second.entry = entry;
@@ -103,7 +104,7 @@
     };
     member.pool = std::make_shared<EndpointPool>(
         this->context.loop, this->context.codec, entry,
-        this->context.place.host.Value(), std::move(observers));
+        this->context.location.host.Value(), std::move(observers));
     member.pool->SetLimits(this->channel_limits);
     if (found != this->members.end()) {
       // Channels of the former database process may still call back.
@@ -163,9 +164,9 @@
 }
 
 common::Duration ServiceGroup::RoundTripTo(const GroupMember& member) const {
-  const HostPlace& place = this->context.place;
-  if (member.domain == place.domain) return kSameDomainRoundTrip;
-  return place.InSameRegion(member.domain)
+  const HostLocation& location = this->context.location;
+  if (member.domain == location.domain) return kSameDomainRoundTrip;
+  return location.InSameRegion(member.domain)
              ? common::Duration(kSameRegionRoundTrip)
              : common::Duration(kCrossRegionRoundTrip);
 }
@@ -536,7 +537,7 @@
       this->members.begin(), this->members.end(), [&](const auto& entry) {
         return this->primary != entry.first &&
                (entry.second.entry.state == MemberState::kReady ||
-                *decision.replace != ReplaceReason::kLeaving);
+                *decision.replace != FailoverReason::kLeaving);
       });
   if (has_candidate) this->promotion->Start(*decision.replace, now);
 }
--- a/Source/Core/Session/statement.cc
+++ b/Source/Core/Session/statement.cc
@@ -2,46 +2,46 @@
 
 namespace camphorferry::session {
 
-const char* ToString(Refusal refusal) {
-  switch (refusal) {
-    case Refusal::kBusy:
+const char* ToString(StatementError error) {
+  switch (error) {
+    case StatementError::kBusy:
       return "busy";
-    case Refusal::kAborted:
+    case StatementError::kAborted:
       return "aborted";
-    case Refusal::kLagging:
+    case StatementError::kLagging:
       return "lagging";
-    case Refusal::kReadOnly:
+    case StatementError::kReadOnly:
       return "read_only";
-    case Refusal::kWrongEndpoint:
+    case StatementError::kWrongEndpoint:
       return "wrong_endpoint";
-    case Refusal::kTooManyConnections:
+    case StatementError::kTooManyConnections:
       return "too_many_connections";
-    case Refusal::kFailed:
+    case StatementError::kFailed:
       return "failed";
-    case Refusal::kTimeout:
+    case StatementError::kTimeout:
       return "timeout";
-    case Refusal::kUnknownOutcome:
+    case StatementError::kUnknownOutcome:
       return "unknown_outcome";
-    case Refusal::kNoSuchStatement:
+    case StatementError::kNoSuchStatement:
       return "no_such_statement";
-    case Refusal::kUnauthorized:
+    case StatementError::kUnauthorized:
       return "unauthorized";
-    case Refusal::kNoSuchDatabase:
+    case StatementError::kNoSuchDatabase:
       return "no_such_database";
-    case Refusal::kTooLarge:
+    case StatementError::kTooLarge:
       return "too_large";
-    case Refusal::kMalformed:
+    case StatementError::kMalformed:
       return "malformed";
   }
   return "unknown";
 }
 
-bool HasNotRun(Refusal refusal) {
-  return refusal == Refusal::kBusy || refusal == Refusal::kLagging ||
-         refusal == Refusal::kReadOnly ||
-         refusal == Refusal::kNoSuchStatement ||
-         refusal == Refusal::kTooManyConnections ||
-         refusal == Refusal::kWrongEndpoint;
+bool HasNotRun(StatementError error) {
+  return error == StatementError::kBusy || error == StatementError::kLagging ||
+         error == StatementError::kReadOnly ||
+         error == StatementError::kNoSuchStatement ||
+         error == StatementError::kTooManyConnections ||
+         error == StatementError::kWrongEndpoint;
 }
 
 }  // namespace camphorferry::session
--- a/Source/Core/Session/statement.h
+++ b/Source/Core/Session/statement.h
@@ -76,7 +76,7 @@
 enum class TransactionPhase { kIdle, kOpen, kFailed };
 
 /// Error codes of statements, shared by endpoints and daemon.
-enum class Refusal {
+enum class StatementError {
   // The statement has not run, or its transaction was rolled back.
   kBusy,
   kAborted,
@@ -97,14 +97,14 @@
 };
 
 /// Name as used in logs and metrics.
-const char* ToString(Refusal refusal);
+const char* ToString(StatementError error);
 
 /// Whether an endpoint that answers with this code has not run the statement.
-bool HasNotRun(Refusal refusal);
+bool HasNotRun(StatementError error);
 
 /// Error that an endpoint has answered with.
 struct EndpointError {
-  Refusal code = Refusal::kFailed;
+  StatementError code = StatementError::kFailed;
   std::string text;
 };
 
--- a/Source/Core/Session/statement_run.cc
+++ b/Source/Core/Session/statement_run.cc
@@ -110,7 +110,7 @@
                     (this->no_channel && now >= this->request.channel_deadline);
   this->no_channel = false;
   if (over) {
-    this->Fail(Refusal::kBusy, this->last_reason);
+    this->Fail(StatementError::kBusy, this->last_reason);
     return;
   }
   ++this->attempts;
@@ -290,7 +290,7 @@
   if (answer == nullptr) this->group->OnUnresponsive(this->endpoint);
   this->channel->Close();
   if (this->request.use == TransactionUse::kContinues) {
-    this->Fail(Refusal::kAborted, "channel_lost");
+    this->Fail(StatementError::kAborted, "channel_lost");
     return;
   }
   this->ReleaseChannel();
@@ -402,7 +402,7 @@
       this->group->OnUnresponsive(this->endpoint);
       this->group->OnCommitUnanswered(this->endpoint);
       this->ReleaseChannel();
-      this->Fail(Refusal::kUnknownOutcome,
+      this->Fail(StatementError::kUnknownOutcome,
                  lost->silent ? "no_answer" : "connection_lost");
       return;
     }
@@ -412,7 +412,7 @@
   const EndpointAnswer& answer = std::get<EndpointAnswer>(result);
   this->group->OnResponsive(this->endpoint);
   if (answer.error.has_value()) {
-    if (ends_write && answer.error->code == Refusal::kTimeout) {
+    if (ends_write && answer.error->code == StatementError::kTimeout) {
       this->group->OnCommitUnanswered(this->endpoint);
     }
     this->OnRefused(answer);
@@ -424,7 +424,7 @@
     this->channel->Close();
     if (ends_write) {
       this->ReleaseChannel();
-      this->Fail(Refusal::kUnknownOutcome, "no_signature");
+      this->Fail(StatementError::kUnknownOutcome, "no_signature");
     } else {
       this->OnLost(false);
     }
@@ -440,7 +440,7 @@
   this->group->OnStatementFailed(this->endpoint);
   this->channel->Close();
   if (this->request.use == TransactionUse::kContinues) {
-    this->Fail(Refusal::kAborted, "connection_lost");
+    this->Fail(StatementError::kAborted, "connection_lost");
     return;
   }
   this->may_have_run = true;
@@ -450,17 +450,20 @@
 }
 
 void StatementRun::OnRefused(const EndpointAnswer& answer) {
-  const Refusal code = answer.error->code;
-  if (code == Refusal::kReadOnly) this->group->OnNotPrimary(this->endpoint);
-  if (code == Refusal::kFailed) this->group->OnStatementFailed(this->endpoint);
-  if (code == Refusal::kNoSuchStatement && this->request.shape.has_value()) {
+  const StatementError code = answer.error->code;
+  if (code == StatementError::kReadOnly)
+    this->group->OnNotPrimary(this->endpoint);
+  if (code == StatementError::kFailed)
+    this->group->OnStatementFailed(this->endpoint);
+  if (code == StatementError::kNoSuchStatement &&
+      this->request.shape.has_value()) {
     this->channel->State().ForgetPrepared(*this->request.shape);
   }
   if (this->request.use == TransactionUse::kContinues) {
-    const bool may_repeat =
-        answer.phase == TransactionPhase::kOpen &&
-        (code == Refusal::kBusy || code == Refusal::kNoSuchStatement) &&
-        ++this->attempts < kMaxBusyRetries;
+    const bool may_repeat = answer.phase == TransactionPhase::kOpen &&
+                            (code == StatementError::kBusy ||
+                             code == StatementError::kNoSuchStatement) &&
+                            ++this->attempts < kMaxBusyRetries;
     if (may_repeat) {
       this->timer = this->loop->After(kBusyRetryPause, [this] {
         const auto keep = this->shared_from_this();
@@ -472,22 +475,26 @@
       });
       return;
     }
-    this->Fail(code == Refusal::kNoSuchStatement ? Refusal::kAborted : code,
+    this->Fail(code == StatementError::kNoSuchStatement
+                   ? StatementError::kAborted
+                   : code,
                answer.error->text);
     return;
   }
   // A transaction that the client does not know of yet is rolled back by
   // closing the channel.
   if (answer.phase != TransactionPhase::kIdle) this->channel->Close();
-  const bool retry_read = !this->request.writes && code == Refusal::kFailed &&
+  const bool retry_read = !this->request.writes &&
+                          code == StatementError::kFailed &&
                           this->request.use == TransactionUse::kNone;
   const bool retry_begin =
       this->request.use == TransactionUse::kOpens &&
-      (code == Refusal::kFailed || code == Refusal::kTimeout);
+      (code == StatementError::kFailed || code == StatementError::kTimeout);
   this->ReleaseChannel();
   if (HasNotRun(code) || retry_read || retry_begin) {
     if (!HasNotRun(code)) this->may_have_run = true;
-    if (code != Refusal::kNoSuchStatement) this->tried.insert(this->endpoint);
+    if (code != StatementError::kNoSuchStatement)
+      this->tried.insert(this->endpoint);
     const bool elsewhere = !this->request.needs_primary;
     this->Retry(elsewhere ? common::Duration(kNextMemberPause)
                           : common::Duration(kBusyRetryPause),
@@ -502,7 +509,7 @@
   ReturnToPool(std::exchange(this->channel, nullptr));
 }
 
-void StatementRun::Fail(Refusal code, const std::string& text) {
+void StatementRun::Fail(StatementError code, const std::string& text) {
   const auto keep = this->shared_from_this();
   this->timer.reset();
   const auto finished = std::exchange(this->done, nullptr);
--- a/Source/Core/Session/statement_run.h
+++ b/Source/Core/Session/statement_run.h
@@ -67,7 +67,7 @@
 
 /// Final error of a run.
 struct RunFailure {
-  Refusal code = Refusal::kBusy;
+  StatementError code = StatementError::kBusy;
   std::string text;
 };
 
@@ -123,7 +123,7 @@
   void OnRefused(const EndpointAnswer& answer);
   void CancelChannelRequest();
   void ReleaseChannel();
-  void Fail(Refusal code, const std::string& text);
+  void Fail(StatementError code, const std::string& text);
   void Deliver(EndpointAnswer answer);
   std::optional<common::LogPosition> MinReadPosition() const;
   common::SteadyTime StalenessBound() const;
--- a/Source/Core/Session/wire_codec.h
+++ b/Source/Core/Session/wire_codec.h
@@ -47,7 +47,7 @@
   /// An empty signature stands for a statement that the daemon itself has
   /// answered.
   virtual std::string EncodeComplete(std::string_view signature) const = 0;
-  virtual std::string EncodeError(Refusal code,
+  virtual std::string EncodeError(StatementError code,
                                   std::string_view text) const = 0;
   virtual std::string EncodeReady(
       TransactionPhase phase,
--- a/Source/Soak/proxy_process.cc
+++ b/Source/Soak/proxy_process.cc
@@ -45,9 +45,10 @@
       log_path(folder + "/proxy-" + std::to_string(index) + ".log"),
       ip(UniqueLoopbackAddress(index)) {
   session::ProxySettings settings;
-  settings.place.host = common::HostId("proxy-" + std::to_string(index));
-  settings.place.domain = common::FailureDomainId("zone");
-  settings.place.region_of[settings.place.domain] = common::RegionId("region");
+  settings.location.host = common::HostId("proxy-" + std::to_string(index));
+  settings.location.domain = common::FailureDomainId("zone");
+  settings.location.region_of[settings.location.domain] =
+      common::RegionId("region");
   settings.clients = this->ClientAddress();
   settings.readiness = {this->ip, kReadyPort};
   settings.peers = {this->ip, kFirstPeerPort};
--- a/Source/UnitTests/Core/Session/directory_watcher_test.cc
+++ b/Source/UnitTests/Core/Session/directory_watcher_test.cc
@@ -105,7 +105,7 @@
   this->AnswerList({Change("a", 1)}, 5);
   this->AnswerWatch(HistoryGone{});
   EXPECT_EQ(this->platform.list_freshness[kKind],
-            (std::vector<DirectoryFreshness>{DirectoryFreshness::kMayLag,
+            (std::vector<DirectoryFreshness>{DirectoryFreshness::kAllowStale,
                                              DirectoryFreshness::kLatest}));
 }
 
--- a/Source/UnitTests/Core/Session/fake_platform.h
+++ b/Source/UnitTests/Core/Session/fake_platform.h
@@ -56,31 +56,34 @@
     done(true);
   }
 
-  void ReadDuty(std::function<void(DutyResult)> done) override {
+  void ReadPromotionLease(
+      std::function<void(PromotionLeaseResult)> done) override {
     if (this->store_down) {
       done(StoreUnavailable{"down"});
       return;
     }
-    done(this->duty);
+    done(this->lease_record);
   }
 
-  void WriteDuty(const PromotionDuty& wanted,
-                 std::function<void(DutyResult)> done) override {
+  void WritePromotionLease(
+      const PromotionLeaseRecord& wanted,
+      std::function<void(PromotionLeaseResult)> done) override {
     if (this->store_down) {
       done(StoreUnavailable{"down"});
       return;
     }
-    if (wanted.revision != this->duty.revision) {
-      done(DutyConflict{this->duty});
+    if (wanted.revision != this->lease_record.revision) {
+      done(PromotionLeaseConflict{this->lease_record});
       return;
     }
-    this->duty = wanted;
-    this->duty.revision = ++this->revision;
-    done(this->duty);
+    this->lease_record = wanted;
+    this->lease_record.revision = ++this->revision;
+    done(this->lease_record);
   }
 
   void Promote(const common::ServiceId& service,
-               const common::EndpointId& endpoint, const PromotionDuty& used,
+               const common::EndpointId& endpoint,
+               const PromotionLeaseRecord& used,
                std::function<void(PromotionAnswer)> done) override {
     this->orders.push_back({service, endpoint, used.revision});
     if (this->on_order) this->on_order(endpoint);
@@ -94,7 +97,7 @@
   /// Values of the documents that other daemons relay.
   std::map<std::string, DirectoryValue> documents;
   std::vector<FleetHost> registered;
-  PromotionDuty duty;
+  PromotionLeaseRecord lease_record;
   std::uint64_t revision = 10;
   bool store_down = false;
   std::vector<Order> orders;
--- a/Source/UnitTests/Core/Session/fleet_membership_test.cc
+++ b/Source/UnitTests/Core/Session/fleet_membership_test.cc
@@ -12,21 +12,21 @@
 
 class FleetMembershipTest : public testing::Test {
  protected:
-  static HostPlace Place() {
-    HostPlace place;
-    place.host = common::HostId("own");
-    place.domain = common::FailureDomainId("east");
-    place.region_of = {
+  static HostLocation Location() {
+    HostLocation location;
+    location.host = common::HostId("own");
+    location.domain = common::FailureDomainId("east");
+    location.region_of = {
         {common::FailureDomainId("east"), common::RegionId("near")},
         {common::FailureDomainId("far"), common::RegionId("other")}};
-    return place;
+    return location;
   }
 
   static FleetHost Host(const std::string& id, const std::string& domain) {
     return {common::HostId(id), "10.0.0.1:1", common::FailureDomainId(domain)};
   }
 
-  FleetMembership membership{Place()};
+  FleetMembership membership{Location()};
 };
 
 // Guards against a daemon that exchanges reports with itself.
@@ -100,9 +100,9 @@
 
 // Guards against daemons that ask different rate owners about one workspace.
 TEST_F(FleetMembershipTest, TwoDaemons_RateOwnerOf_Agree) {
-  HostPlace other_place = Place();
-  other_place.host = common::HostId("h7");
-  FleetMembership other(other_place);
+  HostLocation other_location = Location();
+  other_location.host = common::HostId("h7");
+  FleetMembership other(other_location);
   other.Add(Host("own", "east"), kStart);
   for (int count = 0; count < 40; ++count) {
     const FleetHost host = Host("h" + std::to_string(count), "east");
--- a/Source/UnitTests/Core/Session/grpc_fleet_transport_test.cc
+++ b/Source/UnitTests/Core/Session/grpc_fleet_transport_test.cc
@@ -25,7 +25,7 @@
       if (request.workspace.Value() == "full") reply.retry_after = seconds(2);
       return reply;
     };
-    handlers.read_directory = [](const DirectoryQuestion& query) {
+    handlers.read_directory = [](const DirectoryQuery& query) {
       SharedDirectory shared;
       shared.revision = query.revision + 1;
       shared.objects.push_back({ToString(query.kind), 4, std::nullopt});
--- a/Source/UnitTests/Core/Session/primary_monitor_test.cc
+++ b/Source/UnitTests/Core/Session/primary_monitor_test.cc
@@ -36,7 +36,7 @@
 TEST_F(PrimaryMonitorTest, SilentPrimary_Decide_Replaces) {
   this->LoseContactUntil(kStart + milliseconds(600));
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(600)).replace,
-            ReplaceReason::kDead);
+            FailoverReason::kDead);
 }
 
 // Guards against replacing a primary although only this daemon cannot reach it.
@@ -46,7 +46,7 @@
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(1000)).replace.has_value());
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(2000)).replace,
-            ReplaceReason::kUnreachable);
+            FailoverReason::kUnreachable);
 }
 
 // Guards against keeping a primary that answers but has no replica to confirm
@@ -55,7 +55,7 @@
   this->monitor.OnCommitUnanswered(kStart);
   this->monitor.OnCommitUnanswered(kStart + milliseconds(100));
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(400)).replace,
-            ReplaceReason::kStalled);
+            FailoverReason::kStalled);
   this->monitor.OnCommitSuccess(kStart + milliseconds(450));
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(500)).replace.has_value());
@@ -67,7 +67,7 @@
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(1000)).replace.has_value());
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(1500)).replace,
-            ReplaceReason::kNoPrimary);
+            FailoverReason::kNoPrimary);
 }
 
 // Guards against a promotion while another one is in progress, and against one
@@ -81,7 +81,7 @@
       this->monitor.Decide(kStart + milliseconds(3100)).replace.has_value());
   this->monitor.OnReplicaHeld(kStart + milliseconds(3500), replica, true);
   EXPECT_EQ(this->monitor.Decide(kStart + milliseconds(3600)).replace,
-            ReplaceReason::kReplicasHeld);
+            FailoverReason::kReplicasHeld);
   EXPECT_FALSE(
       this->monitor.Decide(kStart + milliseconds(6000)).replace.has_value());
   this->monitor.OnReplicaHeld(kStart + milliseconds(6100), replica, true);
--- a/Source/UnitTests/Core/Session/primary_view_test.cc
+++ b/Source/UnitTests/Core/Session/primary_view_test.cc
@@ -8,11 +8,11 @@
 class PrimaryViewTest : public testing::Test {
  protected:
   static GroupMember Entry(const std::string& id, bool primary,
-                           std::uint64_t born = 1) {
+                           std::uint64_t incarnation = 1) {
     GroupMember member;
     member.id = common::EndpointId(id);
     member.reports_primary = primary;
-    member.born = born;
+    member.incarnation = incarnation;
     return member;
   }
 
--- a/Source/UnitTests/Core/Session/promotion_plan_test.cc
+++ b/Source/UnitTests/Core/Session/promotion_plan_test.cc
@@ -18,7 +18,7 @@
   GroupMember member;
   member.id = common::EndpointId(id);
   member.state = leaving ? MemberState::kLeaving : MemberState::kReady;
-  member.born = 1;
+  member.incarnation = 1;
   return member;
 }
 
@@ -139,7 +139,7 @@
   const common::SteadyTime late = kStart + milliseconds(400);
   this->plan.OnStatus(this->a, Held(3, 10, 4), late);
   GroupMember restarted = Member("a");
-  restarted.born = 2;
+  restarted.incarnation = 2;
   this->plan.OnMembers({Member("p"), restarted, Member("b")}, late);
   const auto actions = this->plan.OnStatus(this->b, Held(3, 9, 4), late);
   EXPECT_EQ(Find<OrderPromotion>(actions), nullptr);
--- a/Source/UnitTests/Platform/documents_test.cc
+++ b/Source/UnitTests/Platform/documents_test.cc
@@ -39,7 +39,7 @@
   const auto& member = std::get<session::GroupMember>(change.value);
   EXPECT_EQ(member.id.Value(), "n");
   EXPECT_EQ(member.address.port, 8080);
-  EXPECT_EQ(member.born, 17U);
+  EXPECT_EQ(member.incarnation, 17U);
   EXPECT_FALSE(member.reports_primary);
 }
 
@@ -102,7 +102,7 @@
 // Guards against a renewal of the promotion lease that the store ignores
 // because nothing in it has changed.
 TEST_F(DocumentsTest, EncodeLeaseRecord_Renewal_Differs) {
-  session::PromotionDuty record{common::HostId("h"), true, 4};
+  session::PromotionLeaseRecord record{common::HostId("h"), true, 4};
   const json before = EncodeLeaseRecord(record);
   record.revision = 5;
   EXPECT_NE(before, EncodeLeaseRecord(record));
@@ -118,7 +118,7 @@
   member.domain = common::FailureDomainId("z");
   member.state = session::MemberState::kLeaving;
   member.reports_primary = true;
-  member.born = 17;
+  member.incarnation = 17;
   EXPECT_EQ(DecodeMember("n", EncodeMember(member)), member);
 
   session::DirectoryConfiguration configuration;
--- a/Source/UnitTests/Platform/fake_database.cc
+++ b/Source/UnitTests/Platform/fake_database.cc
@@ -48,7 +48,7 @@
   member.address = {"127.0.0.1", this->port};
   member.domain = common::FailureDomainId("zone");
   member.reports_primary = this->primary;
-  member.born = 1;
+  member.incarnation = 1;
   return member;
 }
 
--- a/Source/UnitTests/Platform/fake_documents.cc
+++ b/Source/UnitTests/Platform/fake_documents.cc
@@ -71,20 +71,20 @@
           {"zone", member.domain.Value()},
           {"state", ready ? "ready" : "draining"},
           {"dbRole", member.reports_primary ? "primary" : "replica"},
-          {"born", member.born}};
+          {"born", member.incarnation}};
 }
 
 json EncodeSettings(const session::ProxySettings& settings,
                     const connection::SocketAddress& store) {
   json zones = json::object();
-  for (const auto& [domain, region] : settings.place.region_of) {
+  for (const auto& [domain, region] : settings.location.region_of) {
     zones[domain.Value()] = region.Value();
   }
   const std::chrono::duration<double> grace = settings.stop_grace;
   const std::uint16_t first_port = settings.peers.port;
-  return {{"node", settings.place.host.Value()},
+  return {{"node", settings.location.host.Value()},
           {"ip", settings.peers.ip},
-          {"zone", settings.place.domain.Value()},
+          {"zone", settings.location.domain.Value()},
           {"zones", zones},
           {"listen",
            {{"frontend", connection::ToString(settings.clients)},
--- a/Source/UnitTests/Platform/promotion_task_test.cc
+++ b/Source/UnitTests/Platform/promotion_task_test.cc
@@ -20,10 +20,10 @@
     context.loop = &this->loop;
     context.codec = &this->format;
     context.platform = &this->platform;
-    context.duty = &this->duty;
+    context.promotion_lease = &this->promotion_lease;
     context.metrics = &this->metrics;
-    session::PromotionGroup group;
-    group.ask =
+    session::PromotionCallbacks callbacks;
+    callbacks.send_command =
         [this](const common::EndpointId& id, const std::string& command,
                const std::function<void(std::optional<EndpointStatus>)>& done) {
           this->commands.push_back(id.Value() + " " + command);
@@ -31,19 +31,19 @@
             done(EndpointStatus{session::GroupRole::kReplica, 1, {1, 5}, 2});
           }
         };
-    group.members = [] {
+    callbacks.members = [] {
       std::vector<session::GroupMember> members(3);
       members[0].id = common::EndpointId("p");
       members[1].id = common::EndpointId("a");
       members[2].id = common::EndpointId("b");
       return members;
     };
-    group.primary = [] { return common::EndpointId("p"); };
-    group.highest_term = [] { return 1; };
-    group.still_needed = [] { return true; };
+    callbacks.primary = [] { return common::EndpointId("p"); };
+    callbacks.highest_term = [] { return 1; };
+    callbacks.still_needed = [] { return true; };
     this->task = std::make_unique<session::PromotionTask>(
-        context, common::ServiceId("svc"), group);
-    this->task->Start(session::ReplaceReason::kDead, common::SteadyNow());
+        context, common::ServiceId("svc"), callbacks);
+    this->task->Start(session::FailoverReason::kDead, common::SteadyNow());
     this->RunFor(milliseconds(300));
   }
 
@@ -63,7 +63,8 @@
   WireFormat format;
   session::FakePlatform platform;
   session::ProxyMetrics metrics;
-  session::DutyKeeper duty{&this->platform, common::HostId("own")};
+  session::PromotionLease promotion_lease{&this->platform,
+                                          common::HostId("own")};
   std::vector<std::string> commands;
   std::unique_ptr<session::PromotionTask> task;
 };
@@ -72,7 +73,7 @@
 TEST_F(PromotionTaskTest, Promotion_MembersUnresponsive_ResumesReplicas) {
   this->task->Tick(common::SteadyNow() + milliseconds(2500));
   EXPECT_TRUE(this->Resumed());
-  EXPECT_FALSE(this->platform.duty.active);
+  EXPECT_FALSE(this->platform.lease_record.active);
   EXPECT_NE(this->metrics.ToText().find(
                 "camphorferry_promotion_phase_seconds_count{phase=\"duty\"} 1"),
             std::string::npos);
@@ -81,12 +82,12 @@
 // Guards against a daemon that was suspended, lost the promotion lease
 // meanwhile, and resumes replicas while its successor promotes one of them.
 TEST_F(PromotionTaskTest, Promotion_LeaseTakenOver_LeavesReplicasPaused) {
-  this->platform.duty.holder = common::HostId("other");
-  this->platform.duty.revision = ++this->platform.revision;
+  this->platform.lease_record.holder = common::HostId("other");
+  this->platform.lease_record.revision = ++this->platform.revision;
   this->RunFor(milliseconds(700));
   this->task->Tick(common::SteadyNow() + milliseconds(2500));
   EXPECT_FALSE(this->Resumed());
-  EXPECT_EQ(this->platform.duty.holder.Value(), "other");
+  EXPECT_EQ(this->platform.lease_record.holder.Value(), "other");
 }
 
 }  // namespace
--- a/Source/UnitTests/Platform/proxy_fixture.h
+++ b/Source/UnitTests/Platform/proxy_fixture.h
@@ -29,8 +29,8 @@
     this->primary_database.primary = true;
     this->primary_database.on_commit = [this] { this->Replicate(); };
     session::ProxySettings settings;
-    settings.place.host = common::HostId("own");
-    settings.place.domain = common::FailureDomainId("zone");
+    settings.location.host = common::HostId("own");
+    settings.location.domain = common::FailureDomainId("zone");
     settings.clients = {"127.0.0.1", 0};
     settings.readiness = {"127.0.0.1", 0};
     settings.readiness_path = "/ready";
--- a/Source/UnitTests/Platform/proxy_group_test.cc
+++ b/Source/UnitTests/Platform/proxy_group_test.cc
@@ -42,7 +42,7 @@
       {{"stray", ++this->directory_revision, false, stray, ""},
        {"witness", ++this->directory_revision, false, witness, ""}});
   this->RunFor(seconds(6));
-  EXPECT_EQ(this->platform.duty.revision, 0U);
+  EXPECT_EQ(this->platform.lease_record.revision, 0U);
   const auto client = this->Connect("latest");
   EXPECT_TRUE(HasLine(client->Ask("QUERY 1 WRITE item data"), "COMPLETE"));
 }
@@ -56,8 +56,8 @@
     database->held = 5;
   }
   session::ProxySettings settings;
-  settings.place.host = common::HostId("restarted");
-  settings.place.domain = common::FailureDomainId("zone");
+  settings.location.host = common::HostId("restarted");
+  settings.location.domain = common::FailureDomainId("zone");
   settings.clients = {"127.0.0.1", 0};
   settings.readiness = {"127.0.0.1", 0};
   settings.peers = {"127.0.0.1", 0};
@@ -195,9 +195,9 @@
   handlers.admit = [](const session::AdmissionRequest&) {
     return session::AdmissionReply();
   };
-  handlers.read_directory = [](const session::DirectoryQuestion& question) {
+  handlers.read_directory = [](const session::DirectoryQuery& query) {
     session::SharedDirectory shared;
-    if (question.kind == DirectoryKind::kConfiguration) {
+    if (query.kind == DirectoryKind::kConfiguration) {
       shared = {1000, {{"main", 999, std::string("version 9")}}};
     }
     return shared;
--- a/Source/UnitTests/Platform/store_client_test.cc
+++ b/Source/UnitTests/Platform/store_client_test.cc
@@ -13,8 +13,8 @@
 using session::DirectoryFreshness;
 using session::DirectoryKind;
 using session::DirectoryResult;
-using session::DutyResult;
-using session::PromotionDuty;
+using session::PromotionLeaseRecord;
+using session::PromotionLeaseResult;
 using session::StoreUnavailable;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -71,9 +71,10 @@
     });
   }
 
-  DutyResult WriteDuty(const PromotionDuty& record) {
-    return this->Await<DutyResult>(
-        [&](auto done) { this->client.WriteDuty(record, std::move(done)); });
+  PromotionLeaseResult WritePromotionLease(const PromotionLeaseRecord& record) {
+    return this->Await<PromotionLeaseResult>([&](auto done) {
+      this->client.WritePromotionLease(record, std::move(done));
+    });
   }
 
   /// Starts a server with a fixed body for each value of the query parameter
@@ -134,16 +135,16 @@
 // Guards against two daemons that hold the same fencing token.
 TEST_F(StoreClientTest,
        WritePromotionLease_OlderRevision_ReturnsConflictWithRecord) {
-  const auto first = std::get<PromotionDuty>(
-      this->WriteDuty({common::HostId("one"), true, 0}));
-  const auto second = std::get<PromotionDuty>(
-      this->WriteDuty({common::HostId("two"), true, first.revision}));
+  const auto first = std::get<PromotionLeaseRecord>(
+      this->WritePromotionLease({common::HostId("one"), true, 0}));
+  const auto second = std::get<PromotionLeaseRecord>(
+      this->WritePromotionLease({common::HostId("two"), true, first.revision}));
   EXPECT_GT(second.revision, first.revision);
   const auto late =
-      this->WriteDuty({common::HostId("one"), true, first.revision});
-  const auto& conflict = std::get<session::DutyConflict>(late);
-  EXPECT_EQ(conflict.duty.holder.Value(), "two");
-  EXPECT_EQ(conflict.duty.revision, second.revision);
+      this->WritePromotionLease({common::HostId("one"), true, first.revision});
+  const auto& conflict = std::get<session::PromotionLeaseConflict>(late);
+  EXPECT_EQ(conflict.record.holder.Value(), "two");
+  EXPECT_EQ(conflict.record.revision, second.revision);
 }
 
 // Guards against treating a write whose response was lost as successful, or as
@@ -152,11 +153,11 @@
        WritePromotionLease_ResponseLost_IsUnavailableAlthoughWritten) {
   this->store.SetState(StoreState::kLosesAnswers);
   EXPECT_TRUE(std::holds_alternative<StoreUnavailable>(
-      this->WriteDuty({common::HostId("one"), true, 0})));
+      this->WritePromotionLease({common::HostId("one"), true, 0})));
   this->store.SetState(StoreState::kUp);
-  const auto read = this->Await<DutyResult>(
-      [&](auto done) { this->client.ReadDuty(std::move(done)); });
-  EXPECT_EQ(std::get<PromotionDuty>(read).holder.Value(), "one");
+  const auto read = this->Await<PromotionLeaseResult>(
+      [&](auto done) { this->client.ReadPromotionLease(std::move(done)); });
+  EXPECT_EQ(std::get<PromotionLeaseRecord>(read).holder.Value(), "one");
 }
 
 // Guards against unnecessary calls for a registration, at the first start and
--- a/Source/UnitTests/Platform/wire_format_test.cc
+++ b/Source/UnitTests/Platform/wire_format_test.cc
@@ -7,8 +7,8 @@
 namespace camphorferry::platform {
 namespace {
 
-using session::Refusal;
 using session::Statement;
+using session::StatementError;
 using session::StatementKind;
 
 class WireFormatTest : public testing::Test {
@@ -86,7 +86,8 @@
 
 TEST_F(WireFormatTest, DecodeEndpoint_ValidAndInvalidMessages_AreRecognized) {
   const auto error = this->format.DecodeEndpoint("ERROR READONLY i-7f");
-  EXPECT_EQ(std::get<session::EndpointError>(error).code, Refusal::kReadOnly);
+  EXPECT_EQ(std::get<session::EndpointError>(error).code,
+            StatementError::kReadOnly);
   const auto ready = this->format.DecodeEndpoint("READY T 3.1209");
   EXPECT_EQ(std::get<session::EndpointReady>(ready).phase,
             session::TransactionPhase::kOpen);
