--- a/Source/Core/Process/configuration_task.cc
+++ b/Source/Core/Process/configuration_task.cc
@@ -56,7 +56,7 @@
 
 void ConfigurationTask::OnStoreRead(const connection::ReadResult& result) {
   if (std::holds_alternative<connection::StoreNoAnswer>(result)) {
-    this->tracker.StoreSilent();
+    this->tracker.StoreUnavailable();
     this->PullFromPeers();
     this->retry_timer = this->loop->After(kStoreRetryDelay, [this] {
       if (this->tracker.Ready() && this->watching) {
@@ -79,7 +79,7 @@
 
 void ConfigurationTask::PullFromPeers() {
   if (this->tracker.Ready()) return;
-  for (const common::HostId& peer : this->tracker.PeersToAsk()) {
+  for (const common::HostId& peer : this->tracker.PeersToQuery()) {
     this->PullFrom(peer, /*bootstrap=*/true);
   }
 }
@@ -96,7 +96,7 @@
       [this, peer, bootstrap](const std::optional<PeerConfiguration>& reply) {
         this->pending_pulls.erase(peer);
         if (!reply) {
-          this->tracker.PeerSilent(peer);
+          this->tracker.PeerUnavailable(peer);
           return;
         }
         const version::ConfigurationPointer configuration =
--- a/Source/Core/Process/request_task.cc
+++ b/Source/Core/Process/request_task.cc
@@ -191,7 +191,7 @@
   }
   const request::ReadRequirement requirement{this->call.min_position,
                                              this->call.max_age};
-  const request::ReadRouter reads(this->Home());
+  const request::ReadRouter reads(this->Location());
   const std::uint64_t spread = this->context->random();
   this->candidates =
       reads.Candidates(endpoints, requirement, spread, common::SteadyNow());
@@ -204,14 +204,14 @@
       reads.Candidates(endpoints, requirement, spread, common::SteadyNow());
 }
 
-request::ReadHome RequestTask::Home() const {
-  request::ReadHome home;
-  home.domain = this->context->home_domain;
-  const auto domain = this->configuration->domains.find(home.domain);
+request::DaemonLocation RequestTask::Location() const {
+  request::DaemonLocation location;
+  location.domain = this->context->home_domain;
+  const auto domain = this->configuration->domains.find(location.domain);
   if (domain != this->configuration->domains.end()) {
-    home.region = domain->second.region;
+    location.region = domain->second.region;
   }
-  return home;
+  return location;
 }
 
 request::ReadEndpoint RequestTask::DescribeEndpoint(
@@ -230,7 +230,7 @@
   const EndpointDirectory::Entry& entry =
       this->context->endpoints.Find(endpoint.id);
   result.position = entry.position;
-  result.position_learned = entry.updated_at;
+  result.position_updated_at = entry.updated_at;
   result.reachable = entry.avoid_until <= common::SteadyNow();
   return result;
 }
--- a/Source/Core/Process/request_task.h
+++ b/Source/Core/Process/request_task.h
@@ -51,7 +51,7 @@
   void ChooseWriteEndpoint();
   void ChooseReadEndpoint();
   void RefreshReadCandidates();
-  request::ReadHome Home() const;
+  request::DaemonLocation Location() const;
   request::ReadEndpoint DescribeEndpoint(
       const version::Endpoint& endpoint,
       const connection::PrimaryHint& primary) const;
--- a/Source/Core/Request/read_router.cc
+++ b/Source/Core/Request/read_router.cc
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-ReadRouter::ReadRouter(ReadHome location) : location(std::move(location)) {}
+ReadRouter::ReadRouter(DaemonLocation location)
+    : location(std::move(location)) {}
 
 std::vector<ReadCandidate> ReadRouter::Candidates(
     const std::vector<ReadEndpoint>& endpoints,
@@ -93,10 +94,10 @@
   if (requirement.position == common::LogPosition()) {
     return CatchUp::kCaughtUp;
   }
-  if (!endpoint.position_learned) return CatchUp::kPossible;
+  if (!endpoint.position_updated_at) return CatchUp::kPossible;
   if (endpoint.position >= requirement.position) return CatchUp::kCaughtUp;
   const bool is_fresh =
-      now - *endpoint.position_learned <= kMaxReplicaCatchUpWait;
+      now - *endpoint.position_updated_at <= kMaxReplicaCatchUpWait;
   const bool is_older_term = endpoint.position.term < requirement.position.term;
   return is_fresh && is_older_term ? CatchUp::kUnlikely : CatchUp::kPossible;
 }
--- a/Source/Core/Request/read_router.h
+++ b/Source/Core/Request/read_router.h
@@ -19,14 +19,14 @@
   /// Last known log position, and the time at which it was learned; no time if
   /// the position was never learned.
   common::LogPosition position;
-  std::optional<common::SteadyTime> position_learned;
+  std::optional<common::SteadyTime> position_updated_at;
   bool reachable = true;
   /// The endpoint is being removed from the service and gets no new requests.
   bool leaving = false;
 };
 
 /// Location of the daemon that routes the read.
-struct ReadHome {
+struct DaemonLocation {
   common::FailureDomainId domain;
   common::RegionId region;
 };
@@ -64,7 +64,7 @@
 /// before the next candidate is tried.
 class ReadRouter {
  public:
-  explicit ReadRouter(ReadHome location);
+  explicit ReadRouter(DaemonLocation location);
 
   /// Candidates in the order in which to try them; empty if no endpoint can be
   /// used. Rotates the order of equally good replicas by the given number, so
@@ -105,7 +105,7 @@
                            const ReadRequirement& requirement,
                            common::SteadyTime now);
 
-  ReadHome location;
+  DaemonLocation location;
 };
 
 }  // namespace camphorferry::request
--- a/Source/Core/Version/configuration_tracker.cc
+++ b/Source/Core/Version/configuration_tracker.cc
@@ -44,7 +44,7 @@
   return result;
 }
 
-void ConfigurationTracker::StoreSilent() {
+void ConfigurationTracker::StoreUnavailable() {
   if (this->store == StoreState::kAnswered) return;
   this->store = StoreState::kUnavailable;
   this->UpdateReady();
@@ -59,11 +59,11 @@
   return result;
 }
 
-void ConfigurationTracker::PeerSilent(const common::HostId& peer) {
+void ConfigurationTracker::PeerUnavailable(const common::HostId& peer) {
   this->SetPeerState(peer, PeerState::kUnavailable);
 }
 
-std::vector<common::HostId> ConfigurationTracker::PeersToAsk() const {
+std::vector<common::HostId> ConfigurationTracker::PeersToQuery() const {
   std::vector<common::HostId> to_query;
   if (this->ready || this->store != StoreState::kUnavailable) return to_query;
   const bool all_queried = this->AllPeersQueried();
--- a/Source/Core/Version/configuration_tracker.h
+++ b/Source/Core/Version/configuration_tracker.h
@@ -65,7 +65,7 @@
   OfferResult StoreAnswered(ConfigurationPointer configuration);
 
   /// Records that the store did not answer in time or reported an error.
-  void StoreSilent();
+  void StoreUnavailable();
 
   /// Records an answer of a peer; null if the peer has no configuration. Such
   /// an answer does not make this daemon ready, because the peer may be
@@ -74,12 +74,12 @@
                            ConfigurationPointer configuration);
 
   /// Records that a peer did not answer in time.
-  void PeerSilent(const common::HostId& peer);
+  void PeerUnavailable(const common::HostId& peer);
 
   /// Peers to query now; empty while the answer of the store is pending and
   /// once the daemon is ready. If all peers were queried and none of them sent
   /// a configuration, all are queried again.
-  std::vector<common::HostId> PeersToAsk() const;
+  std::vector<common::HostId> PeersToQuery() const;
 
   /// True once the store has answered, or once the store is unavailable, every
   /// peer in the daemon's own domain has been queried, and at least one of them
--- a/Source/UnitTests/Core/Request/read_router_test.cc
+++ b/Source/UnitTests/Core/Request/read_router_test.cc
@@ -29,7 +29,7 @@
     endpoint.region = RegionId(region);
     endpoint.role = role;
     endpoint.position = position;
-    endpoint.position_learned = kNow - std::chrono::milliseconds(200);
+    endpoint.position_updated_at = kNow - std::chrono::milliseconds(200);
     return endpoint;
   }
 
@@ -64,7 +64,7 @@
 
 // Guards against waiting for a replica that still follows the old primary.
 TEST_F(ReadRouterTest, ReplicaInOlderTerm_Candidates_SkipsUnlessNoPrimary) {
-  this->endpoints[3].position_learned = kNow;
+  this->endpoints[3].position_updated_at = kNow;
   EXPECT_EQ(this->Order({3, 10}), "wrp");
   this->endpoints[0].reachable = false;
   EXPECT_EQ(this->Order({3, 10}), "wre");
--- a/Source/UnitTests/Core/Version/configuration_tracker_test.cc
+++ b/Source/UnitTests/Core/Version/configuration_tracker_test.cc
@@ -79,7 +79,7 @@
     const HostId peer(std::to_string(event.peer));
     switch (event.kind) {
       case StartEvent::Kind::kStoreUnavailable:
-        tracker.StoreSilent();
+        tracker.StoreUnavailable();
         store_unavailable = true;
         continue;
       case StartEvent::Kind::kPeerAnswered:
@@ -90,7 +90,7 @@
         tracker.PeerAnswered(peer, nullptr);
         break;
       case StartEvent::Kind::kPeerUnavailable:
-        tracker.PeerSilent(peer);
+        tracker.PeerUnavailable(peer);
         break;
     }
     queried.insert(event.peer);
@@ -98,7 +98,7 @@
   RC_ASSERT(tracker.Version() == highest);
   RC_ASSERT(tracker.Ready() ==
             (store_unavailable && queried.size() == 3 && highest > 0));
-  const bool queries_peers = !tracker.PeersToAsk().empty();
+  const bool queries_peers = !tracker.PeersToQuery().empty();
   RC_ASSERT(queries_peers == (store_unavailable && !tracker.Ready()));
 }
 
@@ -124,17 +124,17 @@
 
 // Guards against readiness based on a peer in another failure domain.
 TEST_F(ConfigurationTrackerTest, PeerOfOtherDomainAnswers_Ready_IsFalse) {
-  this->tracker.StoreSilent();
+  this->tracker.StoreUnavailable();
   this->tracker.PeerAnswered(HostId("foreign"), MakeConfiguration(1));
-  this->tracker.PeerSilent(HostId("a"));
-  this->tracker.PeerSilent(HostId("b"));
+  this->tracker.PeerUnavailable(HostId("a"));
+  this->tracker.PeerUnavailable(HostId("b"));
   EXPECT_FALSE(this->tracker.Ready());
   EXPECT_EQ(this->tracker.Version(), 1U);
 }
 
 // Guards against a starting daemon that waits for a peer that has left.
 TEST_F(ConfigurationTrackerTest, UnqueriedPeerLeaves_Ready_IsTrue) {
-  this->tracker.StoreSilent();
+  this->tracker.StoreUnavailable();
   this->tracker.PeerAnswered(HostId("a"), MakeConfiguration(1));
   EXPECT_FALSE(this->tracker.Ready());
   this->tracker.SetDomainPeers({HostId("a")});
