--- a/Source/Control/command_line.cc
+++ b/Source/Control/command_line.cc
@@ -261,7 +261,7 @@
 
   std::string TakeObjectName(const std::string& option) {
     std::string name = this->TakeOption(option);
-    if (!common::IsName(name)) {
+    if (!common::IsValidName(name)) {
       throw UsageError(UsageFault::kBadValue, option + " " + name);
     }
     return name;
--- a/Source/Core/Common/digest.cc
+++ b/Source/Core/Common/digest.cc
@@ -42,7 +42,7 @@
   return std::string(reinterpret_cast<const char*>(code.data()), length);
 }
 
-bool EqualConstantTime(std::string_view left, std::string_view right) {
+bool ConstantTimeEquals(std::string_view left, std::string_view right) {
   if (left.size() != right.size()) return false;
   return CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
--- a/Source/Core/Common/digest.h
+++ b/Source/Core/Common/digest.h
@@ -14,7 +14,7 @@
 
 /// Compares two texts in constant time, so that the timing does not reveal
 /// where they differ. Texts of different lengths are unequal at once.
-bool EqualConstantTime(std::string_view left, std::string_view right);
+bool ConstantTimeEquals(std::string_view left, std::string_view right);
 
 /// Base64url without padding (RFC 4648, section 5).
 std::string Base64UrlEncode(std::string_view data);
--- a/Source/Core/Common/text_rules.cc
+++ b/Source/Core/Common/text_rules.cc
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-bool IsName(std::string_view text) {
+bool IsValidName(std::string_view text) {
   if (text.empty() || text.size() > kMaxNameLength) return false;
   return std::all_of(text.begin(), text.end(), IsNameCharacter);
 }
--- a/Source/Core/Common/text_rules.h
+++ b/Source/Core/Common/text_rules.h
@@ -10,7 +10,7 @@
 /// limited because they appear in every log line about the object.
 inline constexpr std::size_t kMaxNameLength = 64;
 
-/// Description of what IsName accepts, for error messages.
+/// Description of what IsValidName accepts, for error messages.
 inline constexpr std::string_view kNameRule =
     "1 to 64 letters, digits, '-', '_' or '.'";
 /// Description of what IsIpAndPort accepts, for error messages.
@@ -22,7 +22,7 @@
 
 /// True for 1 to 64 letters, digits, '-', '_' and '.'; such names need no
 /// quoting in logs, paths and JSON.
-bool IsName(std::string_view text);
+bool IsValidName(std::string_view text);
 
 /// True for IP:PORT with a numeric IPv4 address. Host names are not accepted,
 /// since the processes do not resolve names.
--- a/Source/Core/Connection/http_server.cc
+++ b/Source/Core/Connection/http_server.cc
@@ -110,7 +110,7 @@
   evhttp_send_reply(pending, response.status, nullptr, nullptr);
 }
 
-void HttpResponder::CloseUnanswered() {
+void HttpResponder::CloseWithoutResponse() {
   if (this->request == nullptr) return;
   evhttp_connection* connection =
       *this->server_alive ? evhttp_request_get_connection(this->request)
--- a/Source/Core/Connection/http_server.h
+++ b/Source/Core/Connection/http_server.h
@@ -47,7 +47,7 @@
 
   /// Closes the connection without a response, as a crashing server would. The
   /// process must ignore SIGPIPE.
-  void CloseUnanswered();
+  void CloseWithoutResponse();
 
  private:
   evhttp_request* request;
--- a/Source/Core/Connection/link_monitor.cc
+++ b/Source/Core/Connection/link_monitor.cc
@@ -17,18 +17,19 @@
   return std::exchange(this->actions, {});
 }
 
-bool LinkMonitor::MayUse(LinkId link) const {
+bool LinkMonitor::CanSend(LinkId link) const {
   const auto found = this->links.find(link);
   if (found == this->links.end()) return true;
   return !found->second.pending && !found->second.closing;
 }
 
-void LinkMonitor::On(const LinkSent& event, common::SteadyTime now) {
-  if (!this->MayUse(event.link)) throw LinkNotUsableError(event.link);
+void LinkMonitor::On(const LinkRequestSent& event, common::SteadyTime now) {
+  if (!this->CanSend(event.link)) throw LinkNotUsableError(event.link);
   this->links[event.link].pending = PendingRequest{event.request_id, now};
 }
 
-void LinkMonitor::On(const LinkAnswered& event, common::SteadyTime now) {
+void LinkMonitor::On(const LinkResponseReceived& event,
+                     common::SteadyTime now) {
   const auto found = this->links.find(event.link);
   if (found == this->links.end() || found->second.closing) return;
   Link& link = found->second;
@@ -43,7 +44,7 @@
   link.last_response = now;
 }
 
-void LinkMonitor::On(const LinkAbandoned& event, common::SteadyTime) {
+void LinkMonitor::On(const LinkRequestAbandoned& event, common::SteadyTime) {
   const auto found = this->links.find(event.link);
   if (found == this->links.end() || !found->second.pending) return;
   this->Close(event.link, &found->second);
--- a/Source/Core/Connection/link_monitor.h
+++ b/Source/Core/Connection/link_monitor.h
@@ -16,20 +16,20 @@
 /// are never reused.
 using LinkId = std::uint64_t;
 
-/// A request was sent on a link for which MayUse was true.
-struct LinkSent {
+/// A request was sent on a link for which CanSend was true.
+struct LinkRequestSent {
   LinkId link = 0;
   std::string request_id;
 };
 
 /// A complete response arrived on a link.
-struct LinkAnswered {
+struct LinkResponseReceived {
   LinkId link = 0;
   std::string request_id;
 };
 
 /// The caller stopped waiting for the response, for example at its deadline.
-struct LinkAbandoned {
+struct LinkRequestAbandoned {
   LinkId link = 0;
 };
 
@@ -52,8 +52,8 @@
 struct LinkTick {};
 
 using LinkEvent =
-    std::variant<LinkSent, LinkAnswered, LinkAbandoned, LinkClosed,
-                 ProbeAnswered, ProbeFailed, LinkTick>;
+    std::variant<LinkRequestSent, LinkResponseReceived, LinkRequestAbandoned,
+                 LinkClosed, ProbeAnswered, ProbeFailed, LinkTick>;
 
 /// Action: request the endpoint's status on a new connection.
 struct OpenProbe {
@@ -109,14 +109,14 @@
 class LinkMonitor {
  public:
   /// Processes an event and returns the actions to take now. Throws
-  /// LinkNotUsableError if a request was sent on a link for which MayUse is
+  /// LinkNotUsableError if a request was sent on a link for which CanSend is
   /// false.
   std::vector<LinkAction> Handle(const LinkEvent& event,
                                  common::SteadyTime now);
 
   /// True if a request may be sent on the link: it has no pending request, and
   /// this monitor has not asked to close it.
-  bool MayUse(LinkId link) const;
+  bool CanSend(LinkId link) const;
 
   /// True from a failed probe until the endpoint responds to any request.
   bool IsDown() const { return this->down; }
@@ -139,9 +139,9 @@
     common::SteadyTime opened;
   };
 
-  void On(const LinkSent& event, common::SteadyTime now);
-  void On(const LinkAnswered& event, common::SteadyTime now);
-  void On(const LinkAbandoned& event, common::SteadyTime now);
+  void On(const LinkRequestSent& event, common::SteadyTime now);
+  void On(const LinkResponseReceived& event, common::SteadyTime now);
+  void On(const LinkRequestAbandoned& event, common::SteadyTime now);
   void On(const LinkClosed& event, common::SteadyTime now);
   void On(const ProbeAnswered& event, common::SteadyTime now);
   void On(const ProbeFailed& event, common::SteadyTime now);
--- a/Source/Core/Connection/system_address.cc
+++ b/Source/Core/Connection/system_address.cc
@@ -5,7 +5,7 @@
 
 namespace camphorferry::connection {
 
-sockaddr_in ToSystemAddress(const SocketAddress& address) {
+sockaddr_in ToSockaddrIn(const SocketAddress& address) {
   sockaddr_in result{};
   result.sin_family = AF_INET;
   result.sin_port = htons(address.port);
--- a/Source/Core/Connection/system_address.h
+++ b/Source/Core/Connection/system_address.h
@@ -8,7 +8,7 @@
 namespace camphorferry::connection {
 
 /// Converts an address to the form that socket calls take; IPv4 only.
-sockaddr_in ToSystemAddress(const SocketAddress& address);
+sockaddr_in ToSockaddrIn(const SocketAddress& address);
 
 /// Port that a socket is bound to, over IPv4 or IPv6.
 std::uint16_t LocalPort(int socket);
--- a/Source/Core/Process/endpoint_pool.cc
+++ b/Source/Core/Process/endpoint_pool.cc
@@ -115,7 +115,7 @@
 
 EndpointPool::PooledConnection* EndpointPool::AcquireConnection() {
   for (const auto& pooled : this->connections) {
-    if (!pooled->done && this->monitor.MayUse(pooled->id)) return pooled.get();
+    if (!pooled->done && this->monitor.CanSend(pooled->id)) return pooled.get();
   }
   if (this->connections.size() >= this->max_connections) return nullptr;
   auto pooled = std::make_unique<PooledConnection>();
@@ -140,7 +140,7 @@
   pooled->started = common::SteadyNow();
   pooled->done = std::move(pending.done);
   const std::string request_id = pending.call.request_id;
-  this->Handle(connection::LinkSent{pooled->id, request_id});
+  this->Handle(connection::LinkRequestSent{pooled->id, request_id});
   pooled->link->Execute(
       pending.call, pending.call.deadline - pooled->started,
       [this, id = pooled->id, request_id,
@@ -159,9 +159,9 @@
   // connection.
   this->FinishStatement(pooled, reply);
   if (lost) {
-    this->Handle(connection::LinkAbandoned{id});
+    this->Handle(connection::LinkRequestAbandoned{id});
   } else {
-    this->Handle(connection::LinkAnswered{id, request_id});
+    this->Handle(connection::LinkResponseReceived{id, request_id});
   }
   if (!usable) this->RemoveConnection(id);
   this->Dispatch();
--- a/Source/Core/Process/settings.cc
+++ b/Source/Core/Process/settings.cc
@@ -43,7 +43,7 @@
 
 bool IsLogLevel(std::string_view text) { return LogLevelOf(text).has_value(); }
 
-constexpr TextRule kName{common::IsName, common::kNameRule};
+constexpr TextRule kName{common::IsValidName, common::kNameRule};
 constexpr TextRule kListenAddress{common::IsIpAndPort, common::kIpAndPortRule};
 constexpr TextRule kDialableAddress{
     IsDialableAddress,
--- a/Source/Core/Request/session_token.cc
+++ b/Source/Core/Request/session_token.cc
@@ -99,7 +99,7 @@
     // Anyone can compute a signature with an empty secret.
     if (secret.empty()) continue;
     const std::string expected = common::HmacSha256(secret, body);
-    valid |= common::EqualConstantTime(expected, signature);
+    valid |= common::ConstantTimeEquals(expected, signature);
   }
   return valid;
 }
--- a/Source/Core/Session/message_stream.cc
+++ b/Source/Core/Session/message_stream.cc
@@ -34,7 +34,7 @@
     : loop(loop) {
   this->handle =
       bufferevent_socket_new(loop->Base(), -1, BEV_OPT_CLOSE_ON_FREE);
-  sockaddr_in target = connection::ToSystemAddress(address);
+  sockaddr_in target = connection::ToSockaddrIn(address);
   // A connect that fails immediately is reported by an event as well.
   bufferevent_socket_connect(this->handle, reinterpret_cast<sockaddr*>(&target),
                              sizeof(target));
--- a/Source/Core/Session/proxy.cc
+++ b/Source/Core/Session/proxy.cc
@@ -142,7 +142,7 @@
 }
 
 void Proxy::Listen() {
-  sockaddr_in address = connection::ToSystemAddress(this->settings.clients);
+  sockaddr_in address = connection::ToSockaddrIn(this->settings.clients);
   this->listener = evconnlistener_new_bind(
       this->loop->Base(), OnAccept, this,
       LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, kListenBacklog,
--- a/Source/Core/Version/configuration_json.cc
+++ b/Source/Core/Version/configuration_json.cc
@@ -70,7 +70,7 @@
   template <typename Id>
   Id NameOf(const json& value, const std::string& name) const {
     std::string text = this->TextOf(value, name);
-    if (!common::IsName(text)) this->Fail(DocumentFault::kBadName, name);
+    if (!common::IsValidName(text)) this->Fail(DocumentFault::kBadName, name);
     return Id(std::move(text));
   }
 
@@ -116,7 +116,7 @@
     const ObjectReader members = this->Object(name);
     std::map<Id, Value> values;
     for (const auto& [member, value] : members.object.items()) {
-      if (!common::IsName(member)) {
+      if (!common::IsValidName(member)) {
         members.Fail(DocumentFault::kBadName, member);
       }
       values.emplace(Id(member),
--- a/Source/Core/Version/declarations.cc
+++ b/Source/Core/Version/declarations.cc
@@ -23,7 +23,7 @@
 using common::TextRule;
 using common::TomlTable;
 
-constexpr TextRule kName{common::IsName, common::kNameRule};
+constexpr TextRule kName{common::IsValidName, common::kNameRule};
 constexpr TextRule kAddress{common::IsIpAndPort, common::kIpAndPortRule};
 constexpr TextRule kDigest{common::IsSha256Hex, common::kSha256HexRule};
 // The allowed ranges are checked by CheckConfiguration, which daemons call as
@@ -87,7 +87,7 @@
                    std::map<Id, Value>* values,
                    Value (DeclarationReader::*read)(TomlTable*)) {
     for (auto& [name, table] : root->NamedTables(kind)) {
-      if (!common::IsName(name)) {
+      if (!common::IsValidName(name)) {
         table.Report(FaultKind::kNotAllowed, "", "'" + name + "'",
                      std::string(common::kNameRule));
       }
--- a/Source/Soak/database_group.cc
+++ b/Source/Soak/database_group.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-using platform::Treatment;
+using platform::CommandBehavior;
 
 /// Replication lag of a replica without faults.
 constexpr std::chrono::milliseconds kReplicationInterval(30);
@@ -32,21 +32,23 @@
     raw->database =
         std::make_unique<platform::FakeDatabase>(loop, this->service, raw->id);
     raw->relay =
-        std::make_unique<TcpRelay>(loop, raw->database->Entry().address);
+        std::make_unique<TcpRelay>(loop, raw->database->Registration().address);
     raw->database->primary = index == 0;
     raw->database->on_commit = [this, raw] {
       this->commit_replicated = this->Replicate(raw);
     };
     raw->database->acknowledges = [this] { return this->commit_replicated; };
-    raw->database->on_run = [this, raw](const platform::RunStatement& run) {
-      this->OnExecuted(*raw, run);
-    };
-    raw->database->treat = [this](const std::string& text) {
+    raw->database->on_executed =
+        [this, raw](const platform::ExecutedStatement& statement) {
+          this->OnExecuted(*raw, statement);
+        };
+    raw->database->command_behavior = [this](const std::string& text) {
       const bool is_statement = text.find("STATUS") == std::string::npos;
       const bool lose_response =
           this->lose_responses && is_statement &&
           ++this->statement_counter % kStatementsPerLostResponse == 0;
-      return lose_response ? Treatment::kRunAndHang : Treatment::kRun;
+      return lose_response ? CommandBehavior::kRunAndHang
+                           : CommandBehavior::kRun;
     };
     this->members.push_back(std::move(member));
   }
@@ -59,7 +61,7 @@
 }
 
 void DatabaseGroup::Publish(const Member& member) {
-  session::GroupMember entry = member.database->Entry();
+  session::GroupMember entry = member.database->Registration();
   entry.address = member.relay->Address();
   this->store->Put(entry);
 }
@@ -115,7 +117,7 @@
 }
 
 void DatabaseGroup::OnExecuted(const Member& member,
-                               const platform::RunStatement& statement) {
+                               const platform::ExecutedStatement& statement) {
   ExecutedStatement run;
   run.id = statement.id;
   run.caller = statement.caller;
--- a/Source/Soak/tcp_relay.cc
+++ b/Source/Soak/tcp_relay.cc
@@ -45,7 +45,7 @@
 TcpRelay::TcpRelay(connection::EventLoop* loop,
                    connection::SocketAddress target)
     : loop(loop), target(std::move(target)) {
-  sockaddr_in address = connection::ToSystemAddress({"127.0.0.1", 0});
+  sockaddr_in address = connection::ToSockaddrIn({"127.0.0.1", 0});
   this->listener = evconnlistener_new_bind(
       loop->Base(), OnAccept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
       kBacklog, reinterpret_cast<sockaddr*>(&address), sizeof(address));
@@ -93,7 +93,7 @@
                                        BEV_OPT_CLOSE_ON_FREE);
   raw->target =
       bufferevent_socket_new(relay->loop->Base(), -1, BEV_OPT_CLOSE_ON_FREE);
-  sockaddr_in address = connection::ToSystemAddress(relay->target);
+  sockaddr_in address = connection::ToSockaddrIn(relay->target);
   relay->relayed_connections[raw] = std::move(relayed);
   for (bufferevent* end : {raw->client, raw->target}) {
     bufferevent_setcb(end, OnReadable, nullptr, OnEvent, raw);
--- a/Source/StandIns/network_fault_injector.cc
+++ b/Source/StandIns/network_fault_injector.cc
@@ -16,7 +16,7 @@
   this->isolated = isolated;
   if (!isolation_ended) return;
   for (const auto& responder : std::exchange(this->held_responders, {})) {
-    responder->CloseUnanswered();
+    responder->CloseWithoutResponse();
   }
 }
 
--- a/Source/StandIns/platform_server.cc
+++ b/Source/StandIns/platform_server.cc
@@ -87,7 +87,7 @@
   this->faults = faults;
   if (!this->faults.down) return;
   for (const Responder& responder : this->pending_responders) {
-    responder->CloseUnanswered();
+    responder->CloseWithoutResponse();
   }
   this->pending_responders.clear();
 }
@@ -95,7 +95,7 @@
 void PlatformServer::OnRequest(const HttpRequest& request,
                                const Responder& responder) {
   if (this->faults.down) {
-    responder->CloseUnanswered();
+    responder->CloseWithoutResponse();
     return;
   }
   this->pending_responders.insert(responder);
@@ -173,7 +173,7 @@
   if (changed && this->faults.lose_answers > 0) {
     --this->faults.lose_answers;
     this->pending_responders.erase(responder);
-    responder->CloseUnanswered();
+    responder->CloseWithoutResponse();
   } else {
     this->Respond(responder, PutResponse(result));
   }
--- a/Source/UnitTests/Core/Connection/http_server_test.cc
+++ b/Source/UnitTests/Core/Connection/http_server_test.cc
@@ -34,7 +34,7 @@
   HttpServer server(&this->loop, {"127.0.0.1", 0}, HttpServerLimits(),
                     [](const HttpRequest& /*request*/,
                        const std::shared_ptr<HttpResponder>& responder) {
-                      responder->CloseUnanswered();
+                      responder->CloseWithoutResponse();
                     });
   std::optional<HttpResult> received;
   SendHttpOnce(&this->loop, {"127.0.0.1", server.Port()}, Request(), kTimeout,
--- a/Source/UnitTests/Platform/fake_database.cc
+++ b/Source/UnitTests/Platform/fake_database.cc
@@ -27,7 +27,7 @@
 FakeDatabase::FakeDatabase(connection::EventLoop* loop, std::string service,
                            std::string id)
     : loop(loop), service(std::move(service)), id(std::move(id)) {
-  sockaddr_in address = connection::ToSystemAddress({"127.0.0.1", 0});
+  sockaddr_in address = connection::ToSockaddrIn({"127.0.0.1", 0});
   this->listener = evconnlistener_new_bind(
       loop->Base(), OnAccept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
       16, reinterpret_cast<sockaddr*>(&address), sizeof(address));
@@ -41,7 +41,7 @@
   evconnlistener_free(this->listener);
 }
 
-session::GroupMember FakeDatabase::Entry() const {
+session::GroupMember FakeDatabase::Registration() const {
   session::GroupMember member;
   member.id = common::EndpointId(this->id);
   member.service = common::ServiceId(this->service);
@@ -106,24 +106,26 @@
   words >> request_id;
   std::string text;
   std::getline(words >> std::ws, text);
-  const Treatment treatment = this->treat ? this->treat(text) : Treatment::kRun;
-  if (treatment == Treatment::kClose) {
+  const CommandBehavior behavior = this->command_behavior
+                                       ? this->command_behavior(text)
+                                       : CommandBehavior::kRun;
+  if (behavior == CommandBehavior::kClose) {
     drop();
     return;
   }
-  if (treatment == Treatment::kBusy) {
+  if (behavior == CommandBehavior::kBusy) {
     connection->stream->Send("ERROR BUSY -\r\n" +
                              this->ReadyMessage(*connection));
     return;
   }
-  if (treatment == Treatment::kFail) {
+  if (behavior == CommandBehavior::kFail) {
     connection->stream->Send("ERROR FAILED -\r\n" +
                              this->ReadyMessage(*connection));
     return;
   }
   const std::string reply = this->Execute(connection, request_id, text);
-  if (treatment == Treatment::kRunAndHang || reply.empty()) return;
-  if (treatment == Treatment::kRunAndClose) {
+  if (behavior == CommandBehavior::kRunAndHang || reply.empty()) return;
+  if (behavior == CommandBehavior::kRunAndClose) {
     drop();
     return;
   }
@@ -145,9 +147,9 @@
          this->ReadyMessage(connection);
 }
 
-void FakeDatabase::Record(const RunStatement& statement) {
+void FakeDatabase::Record(const ExecutedStatement& statement) {
   this->executed.push_back(statement);
-  this->on_run(statement);
+  this->on_executed(statement);
 }
 
 std::string FakeDatabase::ValueOf(const std::string& item) const {
@@ -234,13 +236,13 @@
     connection->uncommitted.clear();
     return done("");
   }
-  RunStatement record{id,
-                      text,
-                      connection->caller,
-                      connection->values,
-                      "",
-                      connection->in_transaction,
-                      connection->number};
+  ExecutedStatement record{id,
+                           text,
+                           connection->caller,
+                           connection->values,
+                           "",
+                           connection->in_transaction,
+                           connection->number};
   bool writes = verb == "WRITE";
   std::string item;
   if (verb == "EXECUTE") {
--- a/Source/UnitTests/Platform/fake_database.h
+++ b/Source/UnitTests/Platform/fake_database.h
@@ -16,8 +16,8 @@
 
 namespace camphorferry::platform {
 
-/// How a fake database treats one command.
-enum class Treatment {
+/// Behavior of a fake database on one command.
+enum class CommandBehavior {
   kRun,
   /// Runs it and closes the connection without a response.
   kRunAndClose,
@@ -32,7 +32,7 @@
 };
 
 /// A statement that a fake database has executed for a client.
-struct RunStatement {
+struct ExecutedStatement {
   std::string id;
   std::string text;
   std::string caller;
@@ -62,7 +62,7 @@
   FakeDatabase& operator=(const FakeDatabase&) = delete;
 
   /// Entry that registers this database in the platform's store.
-  session::GroupMember Entry() const;
+  session::GroupMember Registration() const;
 
   bool primary = false;
   common::Term term = 1;
@@ -70,16 +70,17 @@
   /// Term of the PAUSE that is in force; 0 if the database is not paused.
   common::Term held = 0;
   std::size_t max_connections = 16;
-  /// Decides how each command is treated; commands are run if it is unset.
-  std::function<Treatment(const std::string& text)> treat;
+  /// Selects the behavior on each command; commands are run if it is unset.
+  std::function<CommandBehavior(const std::string& text)> command_behavior;
   /// Called for each commit that contains writes.
   std::function<void()> on_commit = [] {};
   /// Called after each commit; a commit for which it returns false gets no
   /// response.
   std::function<bool()> acknowledges = [] { return true; };
   /// Called for each statement that was executed.
-  std::function<void(const RunStatement&)> on_run = [](const RunStatement&) {};
-  std::vector<RunStatement> executed;
+  std::function<void(const ExecutedStatement&)> on_executed =
+      [](const ExecutedStatement&) {};
+  std::vector<ExecutedStatement> executed;
   /// Committed writes in order; a read returns the latest write of its item.
   std::vector<Commit> log;
   std::size_t connections_accepted = 0;
@@ -97,7 +98,7 @@
   std::string SignedResponse(const Connection& connection,
                              const std::string& request,
                              const std::string& rows) const;
-  void Record(const RunStatement& statement);
+  void Record(const ExecutedStatement& statement);
   std::string ValueOf(const std::string& item) const;
   std::string StatusRow() const;
 
--- a/Source/UnitTests/Platform/fake_store.cc
+++ b/Source/UnitTests/Platform/fake_store.cc
@@ -99,7 +99,7 @@
     case StoreState::kLosesAnswers:
       if (request.method != "GET") {
         this->Serve(request);
-        responder->CloseUnanswered();
+        responder->CloseWithoutResponse();
         return;
       }
       break;
--- a/Source/UnitTests/Platform/proxy_fixture.h
+++ b/Source/UnitTests/Platform/proxy_fixture.h
@@ -129,7 +129,7 @@
     std::vector<session::DirectoryChange> changes;
     for (FakeDatabase* database :
          {&this->primary_database, &this->replica_a, &this->replica_b}) {
-      const session::GroupMember entry = database->Entry();
+      const session::GroupMember entry = database->Registration();
       changes.push_back(
           {entry.id.Value(), ++this->directory_revision, false, entry, ""});
     }
@@ -158,8 +158,8 @@
     return answer;
   }
 
-  std::vector<RunStatement> AllExecuted() const {
-    std::vector<RunStatement> all;
+  std::vector<ExecutedStatement> AllExecuted() const {
+    std::vector<ExecutedStatement> all;
     for (const FakeDatabase* database :
          {&this->primary_database, &this->replica_a, &this->replica_b}) {
       all.insert(all.end(), database->executed.begin(),
@@ -172,7 +172,7 @@
   /// more than once if its response was late.
   std::set<std::string> ExecutedIds() const {
     std::set<std::string> ids;
-    for (const RunStatement& statement : this->AllExecuted()) {
+    for (const ExecutedStatement& statement : this->AllExecuted()) {
       ids.insert(statement.id);
     }
     return ids;
--- a/Source/UnitTests/Platform/proxy_group_test.cc
+++ b/Source/UnitTests/Platform/proxy_group_test.cc
@@ -10,7 +10,7 @@
 // Guards against new statements at a replica that has announced its shutdown.
 TEST_F(ProxyTest, Reads_ReplicaLeaving_AreServedByOtherMembers) {
   const auto client = this->Connect("bounded");
-  session::GroupMember leaving = this->replica_a.Entry();
+  session::GroupMember leaving = this->replica_a.Registration();
   leaving.state = session::MemberState::kLeaving;
   this->AnswerDirectoryCall(
       DirectoryKind::kMembers,
@@ -30,11 +30,11 @@
 // of another writer. Its primary never responds, and its promotions would keep
 // the promotion lease from the declared services.
 TEST_F(ProxyTest, MemberOfUndeclaredService_NoPrimary_IsNotPromoted) {
-  session::GroupMember stray = this->primary_database.Entry();
+  session::GroupMember stray = this->primary_database.Registration();
   stray.id = common::EndpointId("stray");
   stray.service = common::ServiceId("undeclared");
   stray.reports_primary = false;
-  session::GroupMember witness = this->replica_a.Entry();
+  session::GroupMember witness = this->replica_a.Registration();
   witness.id = common::EndpointId("witness");
   witness.service = stray.service;
   this->AnswerDirectoryCall(
@@ -74,7 +74,7 @@
 }
 
 TEST_F(ProxyTest, Service_DeclaredAfterItsMembers_HasTheirPools) {
-  session::GroupMember member = this->primary_database.Entry();
+  session::GroupMember member = this->primary_database.Registration();
   member.service = common::ServiceId("later");
   member.id = common::EndpointId("of-later");
   this->AnswerDirectoryCall(
@@ -109,7 +109,7 @@
     chosen.primary = true;
     chosen.position = {2, chosen.position.index};
   };
-  session::GroupMember leaving = this->primary_database.Entry();
+  session::GroupMember leaving = this->primary_database.Registration();
   leaving.state = session::MemberState::kLeaving;
   this->AnswerDirectoryCall(
       DirectoryKind::kMembers,
@@ -145,9 +145,9 @@
   int questions = 0;
   for (FakeDatabase* database :
        {&this->primary_database, &this->replica_a, &this->replica_b}) {
-    database->treat = [&questions](const std::string& text) {
+    database->command_behavior = [&questions](const std::string& text) {
       questions += text == "STATUS" ? 1 : 0;
-      return Treatment::kRun;
+      return CommandBehavior::kRun;
     };
   }
   this->replica_a.held = 9;
@@ -234,8 +234,8 @@
     this->replica_a.held = this->replica_b.held = 0;
     chosen.primary = true;
   };
-  this->primary_database.treat = [](const std::string&) {
-    return Treatment::kClose;
+  this->primary_database.command_behavior = [](const std::string&) {
+    return CommandBehavior::kClose;
   };
   this->replica_b.position.index += 3;
   EXPECT_TRUE(
@@ -279,7 +279,7 @@
   this->platform.on_order = [this](const common::EndpointId& chosen) {
     for (FakeDatabase* database :
          {&this->primary_database, &this->replica_a, &this->replica_b}) {
-      database->primary = database->Entry().id == chosen;
+      database->primary = database->Registration().id == chosen;
       database->term = 3;
       database->position.term = 3;
       database->held = 0;
--- a/Source/UnitTests/Platform/proxy_test.cc
+++ b/Source/UnitTests/Platform/proxy_test.cc
@@ -29,9 +29,9 @@
 // response was lost.
 TEST_F(ProxyTest, Write_ResponseLost_IsUnknownAndRunsOnce) {
   const auto client = this->Connect("latest");
-  this->primary_database.treat = [](const std::string& text) {
-    return text.starts_with("WRITE") ? Treatment::kRunAndClose
-                                     : Treatment::kRun;
+  this->primary_database.command_behavior = [](const std::string& text) {
+    return text.starts_with("WRITE") ? CommandBehavior::kRunAndClose
+                                     : CommandBehavior::kRun;
   };
   EXPECT_TRUE(HasLine(client->Ask("QUERY 1 WRITE item data"), "ERROR UNKNOWN"));
   EXPECT_EQ(this->AllExecuted().size(), 1U);
@@ -39,8 +39,9 @@
 
 TEST_F(ProxyTest, Write_NoResponse_IsUnknown) {
   const auto client = this->Connect("latest");
-  this->primary_database.treat = [](const std::string& text) {
-    return text.starts_with("WRITE") ? Treatment::kRunAndHang : Treatment::kRun;
+  this->primary_database.command_behavior = [](const std::string& text) {
+    return text.starts_with("WRITE") ? CommandBehavior::kRunAndHang
+                                     : CommandBehavior::kRun;
   };
   EXPECT_TRUE(HasLine(client->Ask("QUERY 1 WRITE item data"), "ERROR UNKNOWN"));
   EXPECT_EQ(this->AllExecuted().size(), 1U);
@@ -52,9 +53,9 @@
   int lost = 0;
   for (FakeDatabase* database :
        {&this->primary_database, &this->replica_a, &this->replica_b}) {
-    database->treat = [&lost](const std::string& text) {
+    database->command_behavior = [&lost](const std::string& text) {
       const bool first = text.find("READ") != std::string::npos && lost++ == 0;
-      return first ? Treatment::kRunAndClose : Treatment::kRun;
+      return first ? CommandBehavior::kRunAndClose : CommandBehavior::kRun;
     };
   }
   EXPECT_TRUE(HasLine(client->Ask("QUERY 1 READ item"), "ROW data"));
@@ -63,9 +64,10 @@
 // Guards against reads that wait for the whole timeout of their route at a
 // member that accepts statements and never responds.
 TEST_F(ProxyTest, Reads_MemberHangs_AreServedByAnotherMember) {
-  this->replica_a.treat = [](const std::string& text) {
-    return text.find("READ item") != std::string::npos ? Treatment::kRunAndHang
-                                                       : Treatment::kRun;
+  this->replica_a.command_behavior = [](const std::string& text) {
+    return text.find("READ item") != std::string::npos
+               ? CommandBehavior::kRunAndHang
+               : CommandBehavior::kRun;
   };
   this->PublishConfiguration(2, true, {100000, 100000}, 16, seconds(3));
   const auto client = this->Connect("bounded");
@@ -83,10 +85,11 @@
 TEST_F(ProxyTest, Reads_MemberFails_AreServedByOtherMembers) {
   const auto client = this->Connect("bounded");
   int offered = 0;
-  this->replica_a.treat = [&offered](const std::string& text) {
-    if (text.find("READ item") == std::string::npos) return Treatment::kRun;
+  this->replica_a.command_behavior = [&offered](const std::string& text) {
+    if (text.find("READ item") == std::string::npos)
+      return CommandBehavior::kRun;
     ++offered;
-    return Treatment::kFail;
+    return CommandBehavior::kFail;
   };
   constexpr int kReads = 20;
   for (int id = 1; id <= kReads; ++id) {
@@ -104,10 +107,10 @@
   resting->Ask("QUERY 0 READ item");
   for (FakeDatabase* database :
        {&this->primary_database, &this->replica_a, &this->replica_b}) {
-    database->treat = [](const std::string& text) {
+    database->command_behavior = [](const std::string& text) {
       const bool hangs = text == "STATUS" || text == "ROLLBACK" ||
                          text.find("READ slow") != std::string::npos;
-      return hangs ? Treatment::kRunAndHang : Treatment::kRun;
+      return hangs ? CommandBehavior::kRunAndHang : CommandBehavior::kRun;
     };
   }
   resting->Ask("QUERY 1 BEGIN");
@@ -151,7 +154,7 @@
   EXPECT_TRUE(HasLine(client->Ask("QUERY 3 WRITE x y"), "READY T"));
   EXPECT_TRUE(HasLine(client->Ask("QUERY 4 COMMIT"), "READY I"));
   ASSERT_EQ(this->primary_database.executed.size(), 3U);
-  for (const RunStatement& statement : this->primary_database.executed) {
+  for (const ExecutedStatement& statement : this->primary_database.executed) {
     EXPECT_EQ(statement.connection,
               this->primary_database.executed[0].connection);
   }
@@ -162,8 +165,9 @@
   const auto client = this->Connect("own");
   client->Ask("QUERY 1 BEGIN");
   client->Ask("QUERY 2 WRITE x y");
-  this->primary_database.treat = [](const std::string& text) {
-    return text == "COMMIT" ? Treatment::kRunAndClose : Treatment::kRun;
+  this->primary_database.command_behavior = [](const std::string& text) {
+    return text == "COMMIT" ? CommandBehavior::kRunAndClose
+                            : CommandBehavior::kRun;
   };
   const auto answer = client->Ask("QUERY 3 COMMIT");
   EXPECT_TRUE(HasLine(answer, "ERROR UNKNOWN"));
@@ -176,8 +180,9 @@
   const auto client = this->Connect("own");
   client->Ask("QUERY 1 BEGIN");
   client->Ask("QUERY 2 WRITE x y");
-  this->primary_database.treat = [](const std::string& text) {
-    return text.starts_with("READ") ? Treatment::kClose : Treatment::kRun;
+  this->primary_database.command_behavior = [](const std::string& text) {
+    return text.starts_with("READ") ? CommandBehavior::kClose
+                                    : CommandBehavior::kRun;
   };
   const auto answer = client->Ask("QUERY 3 READ x");
   EXPECT_TRUE(HasLine(answer, "ERROR ABORTED"));
@@ -196,7 +201,7 @@
   second->Ask("QUERY 3 PREPARE s READ q2");
   first->Ask("QUERY 4 EXECUTE s x");
   second->Ask("QUERY 5 EXECUTE s x");
-  for (const RunStatement& statement : this->AllExecuted()) {
+  for (const ExecutedStatement& statement : this->AllExecuted()) {
     if (statement.id == "4") {
       EXPECT_EQ(statement.values.at("mode"), "a");
       EXPECT_EQ(statement.shape, "READ q1");
@@ -213,9 +218,9 @@
 TEST_F(ProxyTest, Write_EndpointBusy_IsRetried) {
   const auto client = this->Connect("latest");
   int busy = 3;
-  this->primary_database.treat = [&busy](const std::string& text) {
-    return text.starts_with("WRITE") && busy-- > 0 ? Treatment::kBusy
-                                                   : Treatment::kRun;
+  this->primary_database.command_behavior = [&busy](const std::string& text) {
+    return text.starts_with("WRITE") && busy-- > 0 ? CommandBehavior::kBusy
+                                                   : CommandBehavior::kRun;
   };
   EXPECT_TRUE(HasLine(client->Ask("QUERY 1 WRITE x y"), "COMPLETE sig.p"));
   EXPECT_EQ(this->primary_database.executed.size(), 1U);
--- a/Source/UnitTests/Platform/test_clients.h
+++ b/Source/UnitTests/Platform/test_clients.h
@@ -74,8 +74,7 @@
                sizeof(kReceiveBufferBytes));
     const timeval limit{2, 0};
     setsockopt(this->socket, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-    const sockaddr_in address =
-        connection::ToSystemAddress({"127.0.0.1", port});
+    const sockaddr_in address = connection::ToSockaddrIn({"127.0.0.1", port});
     EXPECT_EQ(connect(this->socket, reinterpret_cast<const sockaddr*>(&address),
                       sizeof(address)),
               0);
