--- a/Source/UnitTests/StandIns/database_core_test.cc
+++ b/Source/UnitTests/StandIns/database_core_test.cc
@@ -461,7 +461,7 @@
   }
 
   /// Writes to one database. The write becomes acknowledged when another
-  /// database confirms it after a pull, as AcknowledgementRule does.
+  /// database confirms it after a pull, as AcknowledgementTracker does.
   void Write(std::size_t target) {
     const int number = ++this->writes;
     ExecuteRequest request;
