--- a/Source/Core/Process/daemon.cc
+++ b/Source/Core/Process/daemon.cc
@@ -67,7 +67,7 @@
   this->request_context.router = &this->router;
   this->request_context.counters = &this->counters;
   this->request_context.session_secrets = settings.session_secrets;
-  this->request_context.home_domain = settings.domain;
+  this->request_context.own_domain = settings.domain;
   this->peer_server = std::make_unique<GrpcPeerServer>(
       &this->loop, settings.peers, &this->events, this);
   this->operator_server = std::make_unique<OperatorHttpServer>(
--- a/Source/Core/Process/lender_selector.cc
+++ b/Source/Core/Process/lender_selector.cc
@@ -19,10 +19,10 @@
 std::optional<HostId> LenderSelector::Select(const std::vector<HostId>& peers,
                                              SteadyTime now) {
   std::erase_if(this->lenders, [now](const auto& entry) {
-    return entry.second.last_asked + kIdleLenderExpiry < now;
+    return entry.second.last_request + kIdleLenderExpiry < now;
   });
   std::optional<HostId> choice;
-  std::optional<SteadyTime> choice_last_asked;
+  std::optional<SteadyTime> choice_last_request;
   for (const HostId& peer : peers) {
     const auto known = this->lenders.find(peer);
     if (known == this->lenders.end()) {
@@ -33,13 +33,13 @@
     if (lender.lending_until && now < *lender.lending_until) {
       continue;
     }
-    if (!choice || lender.last_asked < *choice_last_asked) {
+    if (!choice || lender.last_request < *choice_last_request) {
       choice = peer;
-      choice_last_asked = lender.last_asked;
+      choice_last_request = lender.last_request;
     }
   }
   if (choice) {
-    this->lenders[*choice].last_asked = now;
+    this->lenders[*choice].last_request = now;
   }
   return choice;
 }
--- a/Source/Core/Process/lender_selector.h
+++ b/Source/Core/Process/lender_selector.h
@@ -25,7 +25,7 @@
 
  private:
   struct Lender {
-    common::SteadyTime last_asked;
+    common::SteadyTime last_request;
     /// When the loan that it granted has ended at the lender.
     std::optional<common::SteadyTime> lending_until;
   };
--- a/Source/Core/Process/request_context.h
+++ b/Source/Core/Process/request_context.h
@@ -27,7 +27,7 @@
   StatementRouter* router = nullptr;
   Counters* counters = nullptr;
   request::SessionSecrets session_secrets;
-  common::FailureDomainId home_domain;
+  common::FailureDomainId own_domain;
   version::ConfigurationPointer configuration;
   std::shared_ptr<const version::KeyRing> keys;
   std::map<common::RouteId, request::RetryBudget> retry_budgets;
--- a/Source/Core/Process/request_task.cc
+++ b/Source/Core/Process/request_task.cc
@@ -192,21 +192,21 @@
   const request::ReadRequirement requirement{this->call.min_position,
                                              this->call.max_age};
   const request::ReadRouter reads(this->Location());
-  const std::uint64_t spread = this->context->random();
+  const std::uint64_t rotation = this->context->random();
   this->candidates =
-      reads.Candidates(endpoints, requirement, spread, common::SteadyNow());
+      reads.Candidates(endpoints, requirement, rotation, common::SteadyNow());
   this->next_candidate = 0;
   if (!this->candidates.empty()) return;
   // No endpoint is considered reachable. Trying them all is cheaper than
   // rejecting the request.
   for (request::ReadEndpoint& endpoint : endpoints) endpoint.reachable = true;
   this->candidates =
-      reads.Candidates(endpoints, requirement, spread, common::SteadyNow());
+      reads.Candidates(endpoints, requirement, rotation, common::SteadyNow());
 }
 
 request::DaemonLocation RequestTask::Location() const {
   request::DaemonLocation location;
-  location.domain = this->context->home_domain;
+  location.domain = this->context->own_domain;
   const auto domain = this->configuration->domains.find(location.domain);
   if (domain != this->configuration->domains.end()) {
     location.region = domain->second.region;
--- a/Source/Core/Session/directory_watcher.cc
+++ b/Source/Core/Session/directory_watcher.cc
@@ -19,10 +19,10 @@
 constexpr std::chrono::milliseconds kInitialBackoff(150);
 constexpr std::chrono::milliseconds kMaxBackoff(600);
 
-/// A watcher that has been behind for this long asks other daemons. Above the
-/// pause between two watches plus a slow answer of the store, so that a change
-/// which is about to arrive is not requested twice.
-constexpr std::chrono::milliseconds kAskPeersAfter(1000);
+/// A watcher that has been behind for this long queries other daemons. Above
+/// the pause between two watches plus a slow answer of the store, so that a
+/// change which is about to arrive is not requested twice.
+constexpr std::chrono::milliseconds kQueryPeersAfter(1000);
 
 /// Members may be listed late, because the status that a member reports itself
 /// takes precedence over its entry.
@@ -206,7 +206,7 @@
 
 bool DirectoryWatcher::NeedsPeers(common::SteadyTime now) const {
   const auto is_due = [now](const auto& since) {
-    return since.has_value() && now - *since >= kAskPeersAfter;
+    return since.has_value() && now - *since >= kQueryPeersAfter;
   };
   return is_due(this->unavailable_since) || is_due(this->behind_since);
 }
--- a/Source/Core/Session/fleet_task.cc
+++ b/Source/Core/Session/fleet_task.cc
@@ -151,7 +151,7 @@
   return !this->membership.RateOwnerOf(workspace).has_value();
 }
 
-void FleetTask::AskRateOwner(
+void FleetTask::RequestAdmission(
     const common::WorkspaceId& workspace,
     std::function<void(std::optional<AdmissionDecision>)> done) {
   if (!this->fleet_known) {
--- a/Source/Core/Session/fleet_task.h
+++ b/Source/Core/Session/fleet_task.h
@@ -61,8 +61,9 @@
 
   /// Asks the owner of a workspace's rate to admit an operation. Calls back,
   /// possibly before this returns, with nothing if no owner has answered.
-  void AskRateOwner(const common::WorkspaceId& workspace,
-                    std::function<void(std::optional<AdmissionDecision>)> done);
+  void RequestAdmission(
+      const common::WorkspaceId& workspace,
+      std::function<void(std::optional<AdmissionDecision>)> done);
 
   /// Asks the next responsive daemon for a part of the directory. Calls back
   /// only if it answers.
--- a/Source/Core/Session/primary_monitor.cc
+++ b/Source/Core/Session/primary_monitor.cc
@@ -131,9 +131,10 @@
     decision.probe = true;
     const common::Duration silence = now - *this->unresponsive_since;
     if (this->unresponsive_count >= kMinFailures && silence >= kDeadAfter) {
-      const bool quiet = !this->replica_advanced_at.has_value() ||
-                         now - *this->replica_advanced_at >= kReplicasIdleAfter;
-      if (quiet) decision.replace = FailoverReason::kDead;
+      const bool replicas_idle =
+          !this->replica_advanced_at.has_value() ||
+          now - *this->replica_advanced_at >= kReplicasIdleAfter;
+      if (replicas_idle) decision.replace = FailoverReason::kDead;
       if (silence >= kUnreachableAfter) {
         decision.replace = FailoverReason::kUnreachable;
       }
--- a/Source/Core/Session/promotion_lease.h
+++ b/Source/Core/Session/promotion_lease.h
@@ -10,13 +10,12 @@
 namespace camphorferry::session {
 
 /// Client of the fleet-wide promotion lease, which stored objects, headers and
-/// metrics call "duty": only the daemon that
-/// holds it may order promotions. The record in the platform's store decides
-/// who that is. Every change of the record is conditional on its revision, and
-/// the revision serves as the fencing token. An order is given only shortly
-/// after a successful change of the record; another daemon takes the lease over
-/// only after the record has not changed for longer than an order can be in
-/// flight.
+/// metrics call "duty": only the daemon that holds it may order promotions. The
+/// record in the platform's store decides who that is. Every change of the
+/// record is conditional on its revision, and the revision serves as the
+/// fencing token. An order is given only shortly after a successful change of
+/// the record; another daemon takes the lease over only after the record has
+/// not changed for longer than an order can be in flight.
 class PromotionLease {
  public:
   PromotionLease(Platform* platform, common::HostId host);
--- a/Source/Core/Session/proxy.cc
+++ b/Source/Core/Session/proxy.cc
@@ -204,7 +204,7 @@
     done(AdmissionDecision{});
     return;
   }
-  this->fleet->AskRateOwner(
+  this->fleet->RequestAdmission(
       workspace, [this, workspace, done = std::move(done)](
                      const std::optional<AdmissionDecision>& owner_decision) {
         const common::SteadyTime now = common::SteadyNow();
--- a/Source/Core/Version/declarations.cc
+++ b/Source/Core/Version/declarations.cc
@@ -158,7 +158,7 @@
   }
 
   FaultList* faults;
-  /// The TomlTables refer to these. A list does not move its elements.
+  /// The TomlTable objects refer to these. A list does not move its elements.
   std::list<toml::table> roots;
   /// Table in which each object is declared, by the path of the object.
   std::map<std::string, TomlTable> declaring_tables;
--- a/Source/UnitTests/Core/Process/acknowledgement_tracker_test.cc
+++ b/Source/UnitTests/Core/Process/acknowledgement_tracker_test.cc
@@ -20,8 +20,8 @@
   }
 
   static EndpointId RequestedReplica(const AcknowledgementDecision& decision) {
-    const auto* ask = std::get_if<RequestConfirmation>(&decision);
-    return ask == nullptr ? EndpointId() : ask->endpoint;
+    const auto* request = std::get_if<RequestConfirmation>(&decision);
+    return request == nullptr ? EndpointId() : request->endpoint;
   }
 
   const EndpointId a{"a"};
--- a/Source/UnitTests/Core/Session/promotion_plan_test.cc
+++ b/Source/UnitTests/Core/Session/promotion_plan_test.cc
@@ -180,17 +180,17 @@
     }
   }
 
-  std::optional<EndpointStatus> Ask(const PromotionAction& action,
-                                    common::EndpointId* asked) {
+  std::optional<EndpointStatus> Send(const PromotionAction& action,
+                                     common::EndpointId* target) {
     if (const auto* step = std::get_if<SendStepDown>(&action)) {
-      *asked = step->endpoint;
+      *target = step->endpoint;
       Database& database = this->databases[step->endpoint.Value()];
       if (!database.reachable_for_plan) return std::nullopt;
       database.primary = false;
       return this->StatusOf(database);
     }
     if (const auto* hold = std::get_if<SendHold>(&action)) {
-      *asked = hold->endpoint;
+      *target = hold->endpoint;
       Database& database = this->databases[hold->endpoint.Value()];
       if (!database.reachable_for_plan) return std::nullopt;
       database.held = std::max(database.held, hold->term);
@@ -239,11 +239,11 @@
         RC_ASSERT(promoted.received >= group.acknowledged);
         return;
       }
-      common::EndpointId asked;
-      const auto status = group.Ask(action, &asked);
+      common::EndpointId target;
+      const auto status = group.Send(action, &target);
       group.Commit(*rc::gen::arbitrary<bool>());
       if (!status.has_value()) continue;
-      for (auto& answer : plan.OnStatus(asked, *status, now)) {
+      for (auto& answer : plan.OnStatus(target, *status, now)) {
         next.push_back(answer);
       }
     }
--- a/Source/UnitTests/Platform/documents_test.cc
+++ b/Source/UnitTests/Platform/documents_test.cc
@@ -55,8 +55,8 @@
       DecodeDocument(DirectoryKind::kMembers, "n", "{")));
 }
 
-// Guards against invalid entries of other writers that stop the directory feed
-// or receive traffic.
+// Guards against invalid entries of other writers that stop the directory
+// watcher or receive traffic.
 TEST_F(DocumentsTest, DecodeObject_InvalidServer_IsUnreadable) {
   for (const char* field : {"service", "addr", "zone", "state", "dbRole"}) {
     json spec = Server();
--- a/Source/UnitTests/Platform/proxy_fixture.h
+++ b/Source/UnitTests/Platform/proxy_fixture.h
@@ -69,7 +69,7 @@
       done(session::DirectoryChanges{std::move(changes), revision});
       return;
     }
-    // The feed pauses after a watch that returned changes.
+    // The watcher pauses after a watch that returned changes.
     while (this->platform.watches[kind].empty()) {
       this->RunFor(std::chrono::milliseconds(5));
     }
--- a/Source/UnitTests/Platform/proxy_group_test.cc
+++ b/Source/UnitTests/Platform/proxy_group_test.cc
@@ -30,17 +30,17 @@
 // of another writer. Its primary never responds, and its promotions would keep
 // the promotion lease from the declared services.
 TEST_F(ProxyTest, MemberOfUndeclaredService_NoPrimary_IsNotPromoted) {
-  session::GroupMember stray = this->primary_database.Registration();
-  stray.id = common::EndpointId("stray");
-  stray.service = common::ServiceId("undeclared");
-  stray.reports_primary = false;
-  session::GroupMember witness = this->replica_a.Registration();
-  witness.id = common::EndpointId("witness");
-  witness.service = stray.service;
+  session::GroupMember primary = this->primary_database.Registration();
+  primary.id = common::EndpointId("stray");
+  primary.service = common::ServiceId("undeclared");
+  primary.reports_primary = false;
+  session::GroupMember replica = this->replica_a.Registration();
+  replica.id = common::EndpointId("witness");
+  replica.service = primary.service;
   this->AnswerDirectoryCall(
       DirectoryKind::kMembers,
-      {{"stray", ++this->directory_revision, false, stray, ""},
-       {"witness", ++this->directory_revision, false, witness, ""}});
+      {{"stray", ++this->directory_revision, false, primary, ""},
+       {"witness", ++this->directory_revision, false, replica, ""}});
   this->RunFor(seconds(6));
   EXPECT_EQ(this->platform.lease_record.revision, 0U);
   const auto client = this->Connect("latest");
@@ -142,11 +142,11 @@
 // Guards against daemons that use up an endpoint's slots with status requests
 // while the leadership of the primary cannot be proved.
 TEST_F(ProxyTest, WaitingRead_LeadershipNotProved_BacksOff) {
-  int questions = 0;
+  int status_requests = 0;
   for (FakeDatabase* database :
        {&this->primary_database, &this->replica_a, &this->replica_b}) {
-    database->command_behavior = [&questions](const std::string& text) {
-      questions += text == "STATUS" ? 1 : 0;
+    database->command_behavior = [&status_requests](const std::string& text) {
+      status_requests += text == "STATUS" ? 1 : 0;
       return CommandBehavior::kRun;
     };
   }
@@ -156,8 +156,8 @@
   client->Ask("QUERY 1 READ item", milliseconds(1000));
   // Each round sends two status requests. With pauses of 30 to 400 ms, five
   // rounds fit into one second; the rest allows for the group's own probes.
-  EXPECT_GE(questions, 2);
-  EXPECT_LE(questions, 24);
+  EXPECT_GE(status_requests, 2);
+  EXPECT_LE(status_requests, 24);
 }
 
 // Guards against a session that reads from a replica without its own commit.
--- a/Source/UnitTests/Platform/store_client_test.cc
+++ b/Source/UnitTests/Platform/store_client_test.cc
@@ -108,7 +108,7 @@
   EXPECT_EQ(Names(changed), (std::vector<std::string>{"b"}));
 }
 
-// Guards against a feed that continues from a revision whose changes are no
+// Guards against a watch that continues from a revision whose changes are no
 // longer available.
 TEST_F(StoreClientTest, Watch_HistoryDropped_ReturnsHistoryGone) {
   this->store.Put(Member("a"));
