--- /dev/null
+++ b/Source/Core/Session/promotion_lease.cc
@@ -0,0 +1,112 @@
+#include "Session/promotion_lease.h"
+
+#include <utility>
+
+namespace camphorferry::session {
+
+namespace {
+
+/// How long after a change of the record was sent an order may be given.
+constexpr std::chrono::milliseconds kOrderWindow(600);
+/// An active record may be taken over after it has not changed for this long:
+/// the order window (600 ms), the time that an order may be in flight (1,000
+/// ms), and a reserve for a slow holder.
+constexpr std::chrono::milliseconds kTakeoverDelay(3000);
+
+}  // namespace
+
+PromotionLease::PromotionLease(Platform* platform, common::HostId host)
+    : platform(platform), host(std::move(host)) {}
+
+void PromotionLease::Acquire(std::function<void(bool held)> done) {
+  if (this->users > 0) {
+    if (this->lost) {
+      done(false);
+      return;
+    }
+    ++this->users;
+    done(true);
+    return;
+  }
+  this->platform->ReadPromotionLease(
+      [this, still_alive = this->alive,
+       done = std::move(done)](const PromotionLeaseResult& result) {
+        if (!*still_alive) return;
+        const auto* stored = std::get_if<PromotionLeaseRecord>(&result);
+        if (stored == nullptr) {
+          done(false);
+          return;
+        }
+        const common::SteadyTime now = common::SteadyNow();
+        if (!this->record_seen_at.has_value() ||
+            stored->revision != this->record.revision) {
+          this->record_seen_at = now;
+        }
+        this->record = *stored;
+        if (stored->active && stored->holder != this->host &&
+            now - *this->record_seen_at < kTakeoverDelay) {
+          done(false);
+          return;
+        }
+        this->Write(true, [this, done](bool written) {
+          if (written) ++this->users;
+          done(written);
+        });
+      });
+}
+
+void PromotionLease::Confirm(
+    std::function<void(std::optional<PromotionLeaseRecord>)> done) {
+  if (this->lost) {
+    done(std::nullopt);
+    return;
+  }
+  if (this->MayOrder(common::SteadyNow())) {
+    done(this->record);
+    return;
+  }
+  this->Write(true, [this, done = std::move(done)](bool written) {
+    done(written ? std::optional(this->record) : std::nullopt);
+  });
+}
+
+void PromotionLease::Release() {
+  if (--this->users > 0) return;
+  this->confirmed_at.reset();
+  if (std::exchange(this->lost, false)) return;
+  this->Write(false, [this](bool /*written*/) { this->confirmed_at.reset(); });
+}
+
+bool PromotionLease::MayOrder(common::SteadyTime now) const {
+  return this->users > 0 && this->confirmed_at.has_value() &&
+         now - *this->confirmed_at < kOrderWindow;
+}
+
+void PromotionLease::Write(bool active,
+                           std::function<void(bool written)> done) {
+  const common::SteadyTime sent = common::SteadyNow();
+  PromotionLeaseRecord wanted{this->host, active, this->record.revision};
+  this->platform->WritePromotionLease(
+      wanted, [this, sent, still_alive = this->alive,
+               done = std::move(done)](const PromotionLeaseResult& result) {
+        if (!*still_alive) return;
+        if (const auto* written = std::get_if<PromotionLeaseRecord>(&result)) {
+          this->record = *written;
+          this->record_seen_at = common::SteadyNow();
+          this->confirmed_at = sent;
+          done(true);
+          return;
+        }
+        if (const auto* conflict =
+                std::get_if<PromotionLeaseConflict>(&result)) {
+          this->record = conflict->record;
+          this->record_seen_at = common::SteadyNow();
+          this->confirmed_at.reset();
+          // The new holder must not lose the lease to this daemon.
+          this->lost = this->users > 0;
+        }
+        done(false);
+      });
+}
+
+}  // namespace camphorferry::session
--- a/Source/UnitTests/Core/Session/promotion_plan_test.cc
+++ b/Source/UnitTests/Core/Session/promotion_plan_test.cc
@@ -18,7 +18,7 @@
   GroupMember member;
   member.id = common::EndpointId(id);
   member.state = leaving ? MemberState::kLeaving : MemberState::kReady;
-  member.born = 1;
+  member.incarnation = 1;
   return member;
 }
 
@@ -139,7 +139,7 @@
   const common::SteadyTime late = kStart + milliseconds(400);
   this->plan.OnStatus(this->a, Held(3, 10, 4), late);
   GroupMember restarted = Member("a");
-  restarted.born = 2;
+  restarted.incarnation = 2;
   this->plan.OnMembers({Member("p"), restarted, Member("b")}, late);
   const auto actions = this->plan.OnStatus(this->b, Held(3, 9, 4), late);
   EXPECT_EQ(Find<OrderPromotion>(actions), nullptr);
@@ -180,17 +180,17 @@
     }
   }
 
-  std::optional<EndpointStatus> Ask(const PromotionAction& action,
-                                    common::EndpointId* asked) {
+  std::optional<EndpointStatus> Send(const PromotionAction& action,
+                                     common::EndpointId* target) {
     if (const auto* step = std::get_if<SendStepDown>(&action)) {
-      *asked = step->endpoint;
+      *target = step->endpoint;
       Database& database = this->databases[step->endpoint.Value()];
       if (!database.reachable_for_plan) return std::nullopt;
       database.primary = false;
       return this->StatusOf(database);
     }
     if (const auto* hold = std::get_if<SendHold>(&action)) {
-      *asked = hold->endpoint;
+      *target = hold->endpoint;
       Database& database = this->databases[hold->endpoint.Value()];
       if (!database.reachable_for_plan) return std::nullopt;
       database.held = std::max(database.held, hold->term);
@@ -239,11 +239,11 @@
         RC_ASSERT(promoted.received >= group.acknowledged);
         return;
       }
-      common::EndpointId asked;
-      const auto status = group.Ask(action, &asked);
+      common::EndpointId target;
+      const auto status = group.Send(action, &target);
       group.Commit(*rc::gen::arbitrary<bool>());
       if (!status.has_value()) continue;
-      for (auto& answer : plan.OnStatus(asked, *status, now)) {
+      for (auto& answer : plan.OnStatus(target, *status, now)) {
         next.push_back(answer);
       }
     }
--- a/Source/UnitTests/Platform/proxy_group_test.cc
+++ b/Source/UnitTests/Platform/proxy_group_test.cc
@@ -10,7 +10,7 @@
 // Guards against new statements at a replica that has announced its shutdown.
 TEST_F(ProxyTest, Reads_ReplicaLeaving_AreServedByOtherMembers) {
   const auto client = this->Connect("bounded");
-  session::GroupMember leaving = this->replica_a.Entry();
+  session::GroupMember leaving = this->replica_a.Registration();
   leaving.state = session::MemberState::kLeaving;
   this->AnswerDirectoryCall(
       DirectoryKind::kMembers,
@@ -30,19 +30,19 @@
 // of another writer. Its primary never responds, and its promotions would keep
 // the promotion lease from the declared services.
 TEST_F(ProxyTest, MemberOfUndeclaredService_NoPrimary_IsNotPromoted) {
-  session::GroupMember stray = this->primary_database.Entry();
-  stray.id = common::EndpointId("stray");
-  stray.service = common::ServiceId("undeclared");
-  stray.reports_primary = false;
-  session::GroupMember witness = this->replica_a.Entry();
-  witness.id = common::EndpointId("witness");
-  witness.service = stray.service;
+  session::GroupMember primary = this->primary_database.Registration();
+  primary.id = common::EndpointId("stray");
+  primary.service = common::ServiceId("undeclared");
+  primary.reports_primary = false;
+  session::GroupMember replica = this->replica_a.Registration();
+  replica.id = common::EndpointId("witness");
+  replica.service = primary.service;
   this->AnswerDirectoryCall(
       DirectoryKind::kMembers,
-      {{"stray", ++this->directory_revision, false, stray, ""},
-       {"witness", ++this->directory_revision, false, witness, ""}});
+      {{"stray", ++this->directory_revision, false, primary, ""},
+       {"witness", ++this->directory_revision, false, replica, ""}});
   this->RunFor(seconds(6));
-  EXPECT_EQ(this->platform.duty.revision, 0U);
+  EXPECT_EQ(this->platform.lease_record.revision, 0U);
   const auto client = this->Connect("latest");
   EXPECT_TRUE(HasLine(client->Ask("QUERY 1 WRITE item data"), "COMPLETE"));
 }
@@ -56,8 +56,8 @@
     database->held = 5;
   }
   session::ProxySettings settings;
-  settings.place.host = common::HostId("restarted");
-  settings.place.domain = common::FailureDomainId("zone");
+  settings.location.host = common::HostId("restarted");
+  settings.location.domain = common::FailureDomainId("zone");
   settings.clients = {"127.0.0.1", 0};
   settings.readiness = {"127.0.0.1", 0};
   settings.peers = {"127.0.0.1", 0};
@@ -74,7 +74,7 @@
 }
 
 TEST_F(ProxyTest, Service_DeclaredAfterItsMembers_HasTheirPools) {
-  session::GroupMember member = this->primary_database.Entry();
+  session::GroupMember member = this->primary_database.Registration();
   member.service = common::ServiceId("later");
   member.id = common::EndpointId("of-later");
   this->AnswerDirectoryCall(
@@ -109,7 +109,7 @@
     chosen.primary = true;
     chosen.position = {2, chosen.position.index};
   };
-  session::GroupMember leaving = this->primary_database.Entry();
+  session::GroupMember leaving = this->primary_database.Registration();
   leaving.state = session::MemberState::kLeaving;
   this->AnswerDirectoryCall(
       DirectoryKind::kMembers,
@@ -142,12 +142,12 @@
 // Guards against daemons that use up an endpoint's slots with status requests
 // while the leadership of the primary cannot be proved.
 TEST_F(ProxyTest, WaitingRead_LeadershipNotProved_BacksOff) {
-  int questions = 0;
+  int status_requests = 0;
   for (FakeDatabase* database :
        {&this->primary_database, &this->replica_a, &this->replica_b}) {
-    database->treat = [&questions](const std::string& text) {
-      questions += text == "STATUS" ? 1 : 0;
-      return Treatment::kRun;
+    database->command_behavior = [&status_requests](const std::string& text) {
+      status_requests += text == "STATUS" ? 1 : 0;
+      return CommandBehavior::kRun;
     };
   }
   this->replica_a.held = 9;
@@ -156,8 +156,8 @@
   client->Ask("QUERY 1 READ item", milliseconds(1000));
   // Each round sends two status requests. With pauses of 30 to 400 ms, five
   // rounds fit into one second; the rest allows for the group's own probes.
-  EXPECT_GE(questions, 2);
-  EXPECT_LE(questions, 24);
+  EXPECT_GE(status_requests, 2);
+  EXPECT_LE(status_requests, 24);
 }
 
 // Guards against a session that reads from a replica without its own commit.
@@ -195,9 +195,9 @@
   handlers.admit = [](const session::AdmissionRequest&) {
     return session::AdmissionReply();
   };
-  handlers.read_directory = [](const session::DirectoryQuestion& question) {
+  handlers.read_directory = [](const session::DirectoryQuery& query) {
     session::SharedDirectory shared;
-    if (question.kind == DirectoryKind::kConfiguration) {
+    if (query.kind == DirectoryKind::kConfiguration) {
       shared = {1000, {{"main", 999, std::string("version 9")}}};
     }
     return shared;
@@ -234,8 +234,8 @@
     this->replica_a.held = this->replica_b.held = 0;
     chosen.primary = true;
   };
-  this->primary_database.treat = [](const std::string&) {
-    return Treatment::kClose;
+  this->primary_database.command_behavior = [](const std::string&) {
+    return CommandBehavior::kClose;
   };
   this->replica_b.position.index += 3;
   EXPECT_TRUE(
@@ -279,7 +279,7 @@
   this->platform.on_order = [this](const common::EndpointId& chosen) {
     for (FakeDatabase* database :
          {&this->primary_database, &this->replica_a, &this->replica_b}) {
-      database->primary = database->Entry().id == chosen;
+      database->primary = database->Registration().id == chosen;
       database->term = 3;
       database->position.term = 3;
       database->held = 0;
