--- a/Source/Soak/database_group.cc
+++ b/Source/Soak/database_group.cc
@@ -39,7 +39,7 @@
     };
     raw->database->acknowledges = [this] { return this->commit_replicated; };
     raw->database->on_executed =
-        [this, raw](const platform::ExecutedStatement& statement) {
+        [this, raw](const platform::StatementRecord& statement) {
           this->OnExecuted(*raw, statement);
         };
     raw->database->command_behavior = [this](const std::string& text) {
@@ -117,13 +117,13 @@
 }
 
 void DatabaseGroup::OnExecuted(const Member& member,
-                               const platform::ExecutedStatement& statement) {
-  ExecutedStatement run;
-  run.id = statement.id;
-  run.caller = statement.caller;
-  run.values = statement.values;
-  run.held_commits = &member.commit_ids;
-  this->checker->OnExecuted(run, common::SteadyNow());
+                               const platform::StatementRecord& statement) {
+  ExecutedStatement executed;
+  executed.id = statement.id;
+  executed.caller = statement.caller;
+  executed.values = statement.values;
+  executed.held_commits = &member.commit_ids;
+  this->checker->OnExecuted(executed, common::SteadyNow());
 }
 
 bool DatabaseGroup::Promote(const std::string& id) {
--- a/Source/Soak/database_group.h
+++ b/Source/Soak/database_group.h
@@ -67,7 +67,7 @@
   bool Replicate(Member* primary);
   void CatchUp();
   void OnExecuted(const Member& member,
-                  const platform::ExecutedStatement& statement);
+                  const platform::StatementRecord& statement);
   void FinishPromotion(Member* candidate);
   /// The primary of the highest term.
   Member* Leader();
--- a/Source/UnitTests/Core/Process/rate_limit_simulator_test.cc
+++ b/Source/UnitTests/Core/Process/rate_limit_simulator_test.cc
@@ -329,8 +329,8 @@
 }
 
 // Guards against a usable fraction of the rate below the one specified in
-// section 4.5 of the design. Buckets refill at 99.5% of the rate, so that 100%
-// is measured as 0.995.
+// section 4.5 of the design. Buckets refill at 99.5% of the rate, so a fully
+// usable rate gives 0.995.
 TEST_F(RateLimitScenarioTest, FourFaults_UsableFraction_IsAsSpecified) {
   RateLimitSimulator store_down(EightHostOptions(1));
   store_down.Advance(minutes(5), seconds(1));
--- a/Source/UnitTests/Platform/fake_database.cc
+++ b/Source/UnitTests/Platform/fake_database.cc
@@ -147,7 +147,7 @@
          this->ReadyMessage(connection);
 }
 
-void FakeDatabase::Record(const ExecutedStatement& statement) {
+void FakeDatabase::Record(const StatementRecord& statement) {
   this->executed.push_back(statement);
   this->on_executed(statement);
 }
@@ -236,13 +236,13 @@
     connection->uncommitted.clear();
     return done("");
   }
-  ExecutedStatement record{id,
-                           text,
-                           connection->caller,
-                           connection->values,
-                           "",
-                           connection->in_transaction,
-                           connection->number};
+  StatementRecord record{id,
+                         text,
+                         connection->caller,
+                         connection->values,
+                         "",
+                         connection->in_transaction,
+                         connection->number};
   bool writes = verb == "WRITE";
   std::string item;
   if (verb == "EXECUTE") {
--- a/Source/UnitTests/Platform/fake_database.h
+++ b/Source/UnitTests/Platform/fake_database.h
@@ -32,7 +32,7 @@
 };
 
 /// A statement that a fake database has executed for a client.
-struct ExecutedStatement {
+struct StatementRecord {
   std::string id;
   std::string text;
   std::string caller;
@@ -78,9 +78,9 @@
   /// response.
   std::function<bool()> acknowledges = [] { return true; };
   /// Called for each statement that was executed.
-  std::function<void(const ExecutedStatement&)> on_executed =
-      [](const ExecutedStatement&) {};
-  std::vector<ExecutedStatement> executed;
+  std::function<void(const StatementRecord&)> on_executed =
+      [](const StatementRecord&) {};
+  std::vector<StatementRecord> executed;
   /// Committed writes in order; a read returns the latest write of its item.
   std::vector<Commit> log;
   std::size_t connections_accepted = 0;
@@ -98,7 +98,7 @@
   std::string SignedResponse(const Connection& connection,
                              const std::string& request,
                              const std::string& rows) const;
-  void Record(const ExecutedStatement& statement);
+  void Record(const StatementRecord& statement);
   std::string ValueOf(const std::string& item) const;
   std::string StatusRow() const;
 
--- a/Source/UnitTests/Platform/proxy_fixture.h
+++ b/Source/UnitTests/Platform/proxy_fixture.h
@@ -158,8 +158,8 @@
     return answer;
   }
 
-  std::vector<ExecutedStatement> AllExecuted() const {
-    std::vector<ExecutedStatement> all;
+  std::vector<StatementRecord> AllExecuted() const {
+    std::vector<StatementRecord> all;
     for (const FakeDatabase* database :
          {&this->primary_database, &this->replica_a, &this->replica_b}) {
       all.insert(all.end(), database->executed.begin(),
@@ -172,7 +172,7 @@
   /// more than once if its response was late.
   std::set<std::string> ExecutedIds() const {
     std::set<std::string> ids;
-    for (const ExecutedStatement& statement : this->AllExecuted()) {
+    for (const StatementRecord& statement : this->AllExecuted()) {
       ids.insert(statement.id);
     }
     return ids;
--- a/Source/UnitTests/Platform/proxy_test.cc
+++ b/Source/UnitTests/Platform/proxy_test.cc
@@ -154,7 +154,7 @@
   EXPECT_TRUE(HasLine(client->Ask("QUERY 3 WRITE x y"), "READY T"));
   EXPECT_TRUE(HasLine(client->Ask("QUERY 4 COMMIT"), "READY I"));
   ASSERT_EQ(this->primary_database.executed.size(), 3U);
-  for (const ExecutedStatement& statement : this->primary_database.executed) {
+  for (const StatementRecord& statement : this->primary_database.executed) {
     EXPECT_EQ(statement.connection,
               this->primary_database.executed[0].connection);
   }
@@ -201,7 +201,7 @@
   second->Ask("QUERY 3 PREPARE s READ q2");
   first->Ask("QUERY 4 EXECUTE s x");
   second->Ask("QUERY 5 EXECUTE s x");
-  for (const ExecutedStatement& statement : this->AllExecuted()) {
+  for (const StatementRecord& statement : this->AllExecuted()) {
     if (statement.id == "4") {
       EXPECT_EQ(statement.values.at("mode"), "a");
       EXPECT_EQ(statement.shape, "READ q1");
