--- a/Source/Core/Session/statement_run.cc
+++ b/Source/Core/Session/statement_run.cc
@@ -451,10 +451,12 @@
 
 void StatementRun::OnRefused(const EndpointAnswer& answer) {
   const StatementError code = answer.error->code;
-  if (code == StatementError::kReadOnly)
+  if (code == StatementError::kReadOnly) {
     this->group->OnNotPrimary(this->endpoint);
-  if (code == StatementError::kFailed)
+  }
+  if (code == StatementError::kFailed) {
     this->group->OnStatementFailed(this->endpoint);
+  }
   if (code == StatementError::kNoSuchStatement &&
       this->request.shape.has_value()) {
     this->channel->State().ForgetPrepared(*this->request.shape);
@@ -493,8 +495,9 @@
   this->ReleaseChannel();
   if (HasNotRun(code) || retry_read || retry_begin) {
     if (!HasNotRun(code)) this->may_have_run = true;
-    if (code != StatementError::kNoSuchStatement)
+    if (code != StatementError::kNoSuchStatement) {
       this->tried.insert(this->endpoint);
+    }
     const bool elsewhere = !this->request.needs_primary;
     this->Retry(elsewhere ? common::Duration(kNextMemberPause)
                           : common::Duration(kBusyRetryPause),
