--- a/Source/UnitTests/Platform/proxy_test.cc
+++ b/Source/UnitTests/Platform/proxy_test.cc
@@ -86,8 +86,9 @@
   const auto client = this->Connect("bounded");
   int offered = 0;
   this->replica_a.command_behavior = [&offered](const std::string& text) {
-    if (text.find("READ item") == std::string::npos)
+    if (text.find("READ item") == std::string::npos) {
       return CommandBehavior::kRun;
+    }
     ++offered;
     return CommandBehavior::kFail;
   };
